--- a/crates/stageyoke-front/src/beginnings.rs
+++ b/crates/stageyoke-front/src/beginnings.rs
@@ -7,7 +7,7 @@
 
 use stageyoke_directory::{Interpreter, KeyValueService, RouteKind};
 use stageyoke_observe::{RequestStory as Story, metrics};
-use stageyoke_policy::contention::{Contention, Verdict};
+use stageyoke_policy::admission::{AdmissionDecision, EngineLoad};
 use stageyoke_types::hash::{mix, unit};
 use stageyoke_types::{ErrorKind, Text};
 
@@ -73,7 +73,7 @@
             return Ok(());
         };
         let order = unit(mix(hash_text(program)));
-        let Verdict::TurnedAway(after) = contention.decide(order) else {
+        let AdmissionDecision::Rejected(after) = contention.decide(order) else {
             return Ok(());
         };
         let begun = self.history.stores.has_begun(program, ASK_WITHIN).await;
@@ -98,18 +98,21 @@
             && !figures.program.is_empty()
     }
 
-    fn contention(&self, call: &Call) -> Option<Contention> {
+    fn contention(&self, call: &Call) -> Option<EngineLoad> {
         let ranked = call.outbound.ranked?;
-        Some(Contention {
-            places: self.fleet.places(&call.service.name),
-            as_urgent: self.fleet.load().ranks.as_urgent(ranked)?,
+        Some(EngineLoad {
+            slots: self.fleet.places(&call.service.name),
+            competing_turns: self.fleet.load().ranks.as_urgent(ranked)?,
         })
     }
 }
 
-fn describe(contention: &Contention, order: f64, begun: Option<bool>) -> String {
-    let Contention { places, as_urgent } = contention;
-    let share = contention.share_that_begins();
+fn describe(contention: &EngineLoad, order: f64, begun: Option<bool>) -> String {
+    let EngineLoad {
+        slots: places,
+        competing_turns: as_urgent,
+    } = contention;
+    let share = contention.admitted_share();
     let begun = match begun {
         Some(true) => "yes",
         Some(false) => "no",
--- a/crates/stageyoke-front/src/quota.rs
+++ b/crates/stageyoke-front/src/quota.rs
@@ -9,8 +9,8 @@
 
 use stageyoke_directory::Tenant;
 use stageyoke_observe as observe;
-use stageyoke_policy::bucket::{Bucket, Limit};
-use stageyoke_policy::quota::{Question, Verdict};
+use stageyoke_policy::quota::{AcquireRequest, QuotaDecision};
+use stageyoke_policy::token_bucket::{RateLimit, TokenBucket};
 use stageyoke_store::Groups;
 use stageyoke_store::keys::TurnKey;
 use stageyoke_store::owners::Grant;
@@ -36,7 +36,7 @@
 /// What this front knows of a tenant.
 #[derive(Debug)]
 struct Known {
-    share: Bucket,
+    share: TokenBucket,
     version: u64,
     refused_at: Option<Duration>,
     used_at: Duration,
@@ -88,11 +88,11 @@
         let Some(limit) = asked.tenant.limit else {
             return Ok(None);
         };
-        let limit = Limit {
+        let limit = RateLimit {
             per_second: limit.per_second,
             burst: limit.burst,
         };
-        let question = Question {
+        let question = AcquireRequest {
             tenant: key(asked.tenant),
             program: match asked.program.is_empty() {
                 true => 0,
@@ -105,12 +105,12 @@
         let (verdict, grant) = self.ask_owners(question).await;
         let now = self.started.elapsed();
         match verdict {
-            Verdict::Granted => Ok(grant),
-            Verdict::Refused(after) => {
+            QuotaDecision::Granted => Ok(grant),
+            QuotaDecision::Rejected(after) => {
                 self.known(&question, now, |known| known.refused_at = Some(now));
                 Err(refusal("quota_spent", after))
             }
-            Verdict::Unknown => self.take_share(&question, now).map(|()| None),
+            QuotaDecision::Unknown => self.take_share(&question, now).map(|()| None),
         }
     }
 
@@ -119,12 +119,12 @@
         self.stores.give_back(grant);
     }
 
-    async fn ask_owners(&self, question: Question) -> (Verdict, Option<Grant>) {
+    async fn ask_owners(&self, question: AcquireRequest) -> (QuotaDecision, Option<Grant>) {
         if self.stores.all_failing_for().is_some() {
-            return (Verdict::Unknown, None);
+            return (QuotaDecision::Unknown, None);
         }
         let Some(ruling) = self.stores.ask_quota(question).await else {
-            return (Verdict::Unknown, None);
+            return (QuotaDecision::Unknown, None);
         };
         if ruling.fronts > 0 {
             self.fronts.set(ruling.fronts);
@@ -132,9 +132,9 @@
         (ruling.verdict, ruling.grant)
     }
 
-    fn take_share(&self, question: &Question, now: Duration) -> Result<(), Failure> {
+    fn take_share(&self, question: &AcquireRequest, now: Duration) -> Result<(), Failure> {
         self.tell_unknown();
-        let granted = self.known(question, now, |known| known.share.take(now));
+        let granted = self.known(question, now, |known| known.share.try_acquire(now));
         match granted {
             true => Ok(()),
             false => Err(refusal("quota_share_spent", SOON)),
@@ -148,15 +148,20 @@
         }
     }
 
-    fn known<T>(&self, question: &Question, now: Duration, act: impl FnOnce(&mut Known) -> T) -> T {
+    fn known<T>(
+        &self,
+        question: &AcquireRequest,
+        now: Duration,
+        act: impl FnOnce(&mut Known) -> T,
+    ) -> T {
         let mut tenants = self.tenants.borrow_mut();
         if tenants.len() >= MOST_TENANTS && !tenants.contains_key(&question.tenant) {
             forget_unused(&mut tenants);
         }
         let part = SHARE_PART / f64::from(self.fronts.get());
-        let limit = question.limit.part(part);
+        let limit = question.limit.scaled(part);
         let known = tenants.entry(question.tenant).or_insert_with(|| Known {
-            share: Bucket::new(limit, limit.burst, now),
+            share: TokenBucket::new(limit, limit.burst, now),
             version: question.version,
             refused_at: None,
             used_at: now,
--- a/crates/stageyoke-policy/src/contention.rs
+++ b/crates/stageyoke-policy/src/admission.rs
@@ -22,40 +22,40 @@
 
 /// Work at a service's engines, as all fronts count it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Contention {
+pub struct EngineLoad {
     /// Turns that the engines work on at once.
-    pub places: u32,
+    pub slots: u32,
     /// Turns under way, also those that wait there, that are as urgent as the program to
     /// be decided on, or more.
-    pub as_urgent: u32,
+    pub competing_turns: u32,
 }
 
 /// Whether a program begins.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Verdict {
+pub enum AdmissionDecision {
     /// It does.
-    Begins,
+    Admitted,
     /// There is no room; it may come back after this time.
-    TurnedAway(Duration),
+    Rejected(Duration),
 }
 
-impl Contention {
+impl EngineLoad {
     /// Share of the programs that begin, 0 to 1: all while a place is free for them.
-    pub fn share_that_begins(&self) -> f64 {
-        if self.places == 0 {
+    pub fn admitted_share(&self) -> f64 {
+        if self.slots == 0 {
             return 1.0;
         }
-        let taken = f64::from(self.as_urgent) / f64::from(self.places);
+        let taken = f64::from(self.competing_turns) / f64::from(self.slots);
         ((1.0 + BAND - taken) / BAND).clamp(0.0, 1.0)
     }
 
     /// Decides on the program with this place in the order of all, 0 to 1. The order has
     /// nothing to do with when they come: one that is turned away stays before those
     /// behind it when it comes back.
-    pub fn decide(&self, order: f64) -> Verdict {
-        match order < self.share_that_begins() {
-            true => Verdict::Begins,
-            false => Verdict::TurnedAway(EARLIEST_RETURN + RETURNS_OVER.mul_f64(order)),
+    pub fn decide(&self, order: f64) -> AdmissionDecision {
+        match order < self.admitted_share() {
+            true => AdmissionDecision::Admitted,
+            false => AdmissionDecision::Rejected(EARLIEST_RETURN + RETURNS_OVER.mul_f64(order)),
         }
     }
 }
--- a/crates/stageyoke-policy/src/quota/account.rs
+++ b/crates/stageyoke-policy/src/quota/account.rs
@@ -3,9 +3,9 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::Tolerance;
+use super::QuotaTolerance;
 use super::habits::{Demand, Habits};
-use crate::bucket::Limit;
+use crate::token_bucket::RateLimit;
 use crate::window::Window;
 
 /// A program that has asked for nothing this long is taken as over: few turns and
@@ -36,7 +36,7 @@
 /// A limit with the requests that it has granted.
 #[derive(Clone, Debug)]
 struct Held {
-    limit: Limit,
+    limit: RateLimit,
     requests: Window,
     /// When it ends to hold, once it was lowered.
     until: Option<Duration>,
@@ -58,7 +58,7 @@
     /// A tenant with this limit, of which these requests are known, all of those since
     /// then.
     pub(super) fn new(
-        limit: Limit,
+        limit: RateLimit,
         requests: Window,
         version: u64,
         complete_since: Duration,
@@ -78,7 +78,7 @@
     }
 
     /// Takes the limit of a configuration, unless it is an older one.
-    pub(super) fn follow(&mut self, limit: Limit, version: u64, now: Duration) {
+    pub(super) fn follow(&mut self, limit: RateLimit, version: u64, now: Duration) {
         if version > self.version {
             self.version = version;
             self.set_limit(limit, now);
@@ -112,7 +112,7 @@
         &mut self,
         begins: bool,
         habits: &Habits,
-        tolerance: Tolerance,
+        tolerance: QuotaTolerance,
         now: Duration,
     ) -> Option<Duration> {
         self.held
@@ -188,7 +188,7 @@
     /// before, and both together, must keep to the former one for a window: else a
     /// tenant would get nothing until its former requests have left the window. A
     /// higher one counts everything, and no former one binds any more.
-    fn set_limit(&mut self, limit: Limit, now: Duration) {
+    fn set_limit(&mut self, limit: RateLimit, now: Duration) {
         let Some(current) = self.held.first_mut() else {
             return;
         };
--- a/crates/stageyoke-policy/src/quota/mod.rs
+++ b/crates/stageyoke-policy/src/quota/mod.rs
@@ -16,7 +16,7 @@
 
 use self::account::Account;
 use self::habits::Habits;
-use crate::bucket::Limit;
+use crate::token_bucket::RateLimit;
 use crate::window::Window;
 
 /// Part of what a tenant may ask for that an owner takes as asked for already, for
@@ -38,7 +38,7 @@
 
 /// What the operator tolerates beyond limits, since they hold over many processes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Tolerance {
+pub struct QuotaTolerance {
     /// Window in which it is counted.
     pub window: Duration,
     /// Part of what the limit allows in a window.
@@ -47,7 +47,7 @@
     pub slack: f64,
 }
 
-impl Tolerance {
+impl QuotaTolerance {
     /// Requests that programs under way may make beyond a limit. Half of what is
     /// tolerated: the rest is for what owners do not know of one another.
     fn overdraft(&self, allowed: f64) -> f64 {
@@ -64,13 +64,13 @@
 
 /// May one more request of a tenant be made?
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Question {
+pub struct AcquireRequest {
     /// Hash of the tenant's name.
     pub tenant: u64,
     /// Hash of the request's program; zero where it has none.
     pub program: u64,
     /// The tenant's limit.
-    pub limit: Limit,
+    pub limit: RateLimit,
     /// Version of the configuration that the limit is from.
     pub version: u64,
     /// Whether the owner is asked in place of others that did not answer.
@@ -79,32 +79,32 @@
 
 /// An owner's answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Verdict {
+pub enum QuotaDecision {
     /// It may be made, and is counted.
     Granted,
     /// It may not; when to come back.
-    Refused(Duration),
+    Rejected(Duration),
     /// This owner does not count for the tenant.
     Unknown,
 }
 
 /// Where a granted request was counted, by which it can be given back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Receipt {
+pub struct GrantReceipt {
     /// Slot of the window.
     pub slot: u64,
     /// Version of the limit.
     pub version: u64,
     /// Life of the owner.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 /// Limits of the tenants that one store owns.
 #[derive(Debug, Default)]
 pub struct QuotaLedger {
     /// Tells this owner from the one that it was before a restart.
-    life: u64,
-    tolerance: Tolerance,
+    incarnation: u64,
+    tolerance: QuotaTolerance,
     accounts: HashMap<u64, Account>,
     /// Since when this owner counts.
     since: Duration,
@@ -115,62 +115,65 @@
 
 impl QuotaLedger {
     /// The same ledger where the operator tolerates so much.
-    pub fn tolerating(self, tolerance: Tolerance) -> Self {
+    pub fn with_tolerance(self, tolerance: QuotaTolerance) -> Self {
         Self { tolerance, ..self }
     }
 
     /// The same ledger in this life of its owner, drawn at random at each start.
-    pub fn living(self, life: u64) -> Self {
-        Self { life, ..self }
+    pub fn with_incarnation(self, incarnation: u64) -> Self {
+        Self {
+            incarnation,
+            ..self
+        }
     }
 
     /// Who owns which tenant has changed: for tenants that are new to it this owner
     /// begins to count now.
-    pub fn owners_changed(&mut self, now: Duration) {
+    pub fn handle_owner_change(&mut self, now: Duration) {
         self.since = now;
     }
 
     /// Whether all of a tenant's requests of the last window are known here: an owner
     /// that has just started, or just become one, does not know what others granted.
-    pub fn knows_window(&self, tenant: u64, now: Duration) -> bool {
+    pub fn has_full_window(&self, tenant: u64, now: Duration) -> bool {
         let account = self.accounts.get(&tenant);
         let since = account.map_or(self.since, Account::complete_since);
         since + self.tolerance.window() <= now
     }
 
     /// Decides on one request.
-    pub fn ask(&mut self, question: &Question, now: Duration) -> Verdict {
+    pub fn acquire(&mut self, question: &AcquireRequest, now: Duration) -> QuotaDecision {
         let Some(begins) = self.open(question, now) else {
-            return Verdict::Unknown;
+            return QuotaDecision::Unknown;
         };
         let Some(account) = self.accounts.get_mut(&question.tenant) else {
-            return Verdict::Unknown;
+            return QuotaDecision::Unknown;
         };
         if let Some(wait) = account.wait(begins, &self.habits, self.tolerance, now) {
             account.refuse(question.program);
-            return Verdict::Refused(wait.clamp(RETURN.0, RETURN.1));
+            return QuotaDecision::Rejected(wait.clamp(RETURN.0, RETURN.1));
         }
         account.grant(question.program, begins, &mut self.habits, now);
         self.programs += usize::from(begins);
-        Verdict::Granted
+        QuotaDecision::Granted
     }
 
     /// Where the request of a tenant that was granted just now is counted.
-    pub fn receipt(&mut self, tenant: u64, now: Duration) -> Option<Receipt> {
+    pub fn receipt(&mut self, tenant: u64, now: Duration) -> Option<GrantReceipt> {
         let account = self.accounts.get_mut(&tenant)?;
         let (slot, version) = account.slot(now)?;
-        Some(Receipt {
+        Some(GrantReceipt {
             slot,
             version,
-            life: self.life,
+            incarnation: self.incarnation,
         })
     }
 
     /// Takes back a request that was granted here and then not run: its tenant may
     /// make another one. What has left the window changes nothing, and what another
     /// owner granted is not known here.
-    pub fn take_back(&mut self, tenant: u64, receipt: Receipt, now: Duration) {
-        if receipt.life != self.life {
+    pub fn refund(&mut self, tenant: u64, receipt: GrantReceipt, now: Duration) {
+        if receipt.incarnation != self.incarnation {
             return;
         }
         if let Some(account) = self.accounts.get_mut(&tenant) {
@@ -179,7 +182,7 @@
     }
 
     /// Counts a request that another owner has granted.
-    pub fn count(&mut self, question: &Question, now: Duration) {
+    pub fn count(&mut self, question: &AcquireRequest, now: Duration) {
         let Some(begins) = self.open(question, now) else {
             return;
         };
@@ -191,7 +194,7 @@
 
     /// Makes sure that the tenant has an account; says whether the request begins
     /// a program. `None` where there is no room for an account.
-    fn open(&mut self, question: &Question, now: Duration) -> Option<bool> {
+    fn open(&mut self, question: &AcquireRequest, now: Duration) -> Option<bool> {
         self.sweep(now);
         if !self.accounts.contains_key(&question.tenant) {
             if self.accounts.len() >= MOST_TENANTS {
@@ -206,7 +209,7 @@
         Some(!known && self.programs < MOST_PROGRAMS)
     }
 
-    fn new_account(&self, question: &Question, now: Duration) -> Account {
+    fn new_account(&self, question: &AcquireRequest, now: Duration) -> Account {
         let complete_since = match question.standby {
             true => now,
             false => self.since,
--- a/crates/stageyoke-policy/src/bucket.rs
+++ b/crates/stageyoke-policy/src/token_bucket.rs
@@ -4,20 +4,20 @@
 
 /// How many requests may be made.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Limit {
+pub struct RateLimit {
     /// Requests a second.
     pub per_second: f64,
     /// Requests beyond that at once.
     pub burst: f64,
 }
 
-impl Limit {
+impl RateLimit {
     /// A part of this limit. Its burst is one request at least, without which
     /// nothing would ever be granted.
-    pub fn part(self, part: f64) -> Self {
+    pub fn scaled(self, factor: f64) -> Self {
         Self {
-            per_second: self.per_second * part,
-            burst: (self.burst * part).max(1.0),
+            per_second: self.per_second * factor,
+            burst: (self.burst * factor).max(1.0),
         }
     }
 
@@ -30,15 +30,15 @@
 /// Requests that a limit leaves now. Within any time it grants no more than the
 /// limit's rate over that time and one burst.
 #[derive(Clone, Debug)]
-pub struct Bucket {
-    limit: Limit,
+pub struct TokenBucket {
+    limit: RateLimit,
     level: f64,
     at: Duration,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A bucket that holds so many requests, or its whole room if that is less.
-    pub fn new(limit: Limit, level: f64, now: Duration) -> Self {
+    pub fn new(limit: RateLimit, level: f64, now: Duration) -> Self {
         Self {
             limit,
             level: level.clamp(0.0, limit.room()),
@@ -47,12 +47,12 @@
     }
 
     /// The limit in force.
-    pub fn limit(&self) -> Limit {
+    pub fn limit(&self) -> RateLimit {
         self.limit
     }
 
     /// Another limit is in force from now on.
-    pub fn set_limit(&mut self, limit: Limit, now: Duration) {
+    pub fn set_limit(&mut self, limit: RateLimit, now: Duration) {
         self.refill(now);
         self.limit = limit;
         self.level = self.level.min(limit.room());
@@ -65,7 +65,7 @@
     }
 
     /// Takes one request, if it holds one.
-    pub fn take(&mut self, now: Duration) -> bool {
+    pub fn try_acquire(&mut self, now: Duration) -> bool {
         let granted = self.level(now) >= 1.0;
         if granted {
             self.level -= 1.0;
--- a/crates/stageyoke-policy/src/window.rs
+++ b/crates/stageyoke-policy/src/window.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::bucket::Limit;
+use crate::token_bucket::RateLimit;
 
 /// Slots of a window. A request counts until its whole slot has left the window:
 /// a hundredth of it, 50 ms of 5 s, makes it hardly stricter.
@@ -35,7 +35,7 @@
     }
 
     /// What a limit allows within the window.
-    pub fn allowed(&self, limit: Limit) -> f64 {
+    pub fn allowed(&self, limit: RateLimit) -> f64 {
         (limit.per_second * self.length.as_secs_f64() + limit.burst).max(1.0)
     }
 
--- a/crates/stageyoke-policy/tests/contention_test.rs
+++ b/crates/stageyoke-policy/tests/contention_test.rs
@@ -5,7 +5,7 @@
 
 use proptest::prelude::*;
 use rstest::rstest;
-use stageyoke_policy::contention::{Contention, Verdict};
+use stageyoke_policy::admission::{AdmissionDecision, EngineLoad};
 
 /// One step of a replay, ms.
 const STEP: u64 = 10;
@@ -96,16 +96,16 @@
                 coming.push(program);
                 continue;
             }
-            let contention = Contention {
-                places: load.places as u32,
-                as_urgent: if program.rank == 0 {
+            let contention = EngineLoad {
+                slots: load.places as u32,
+                competing_turns: if program.rank == 0 {
                     urgent
                 } else {
                     urgent + other
                 },
             };
             match contention.decide(program.order) {
-                Verdict::TurnedAway(after) if limited && !program.begun => {
+                AdmissionDecision::Rejected(after) if limited && !program.begun => {
                     program.tries -= 1;
                     program.at = now + after.as_millis() as u64;
                     if program.tries > 0 {
@@ -208,8 +208,8 @@
         places in 1..10_000_u32, free in 1..100_u32, order in 0.0..1.0,
     ) {
         let as_urgent = places.saturating_sub(free);
-        let contention = Contention { places, as_urgent };
-        prop_assert_eq!(contention.decide(order), Verdict::Begins);
+        let contention = EngineLoad { slots: places, competing_turns: as_urgent };
+        prop_assert_eq!(contention.decide(order), AdmissionDecision::Admitted);
     }
 
     /// By the same counts, none begins before an earlier one in the order, nor where a
@@ -219,13 +219,13 @@
         places in 1..1_000_u32, as_urgent in 0..2_000_u32, less_urgent in 0..1_000_u32,
         order in 0.0..1.0, later in 0.0..1.0,
     ) {
-        let urgent = Contention { places, as_urgent };
-        let less = Contention { places, as_urgent: as_urgent + less_urgent };
-        prop_assert!(urgent.share_that_begins() >= less.share_that_begins());
-        if order < later && less.decide(later) == Verdict::Begins {
-            prop_assert_eq!(less.decide(order), Verdict::Begins);
+        let urgent = EngineLoad { slots: places, competing_turns: as_urgent };
+        let less = EngineLoad { slots: places, competing_turns: as_urgent + less_urgent };
+        prop_assert!(urgent.admitted_share() >= less.admitted_share());
+        if order < later && less.decide(later) == AdmissionDecision::Admitted {
+            prop_assert_eq!(less.decide(order), AdmissionDecision::Admitted);
         }
-        if let Verdict::TurnedAway(after) = less.decide(order) {
+        if let AdmissionDecision::Rejected(after) = less.decide(order) {
             prop_assert!(after <= Duration::from_secs(1), "a caller heeds so much");
         }
     }
@@ -233,5 +233,8 @@
 
 #[test]
 fn without_engines_nobody_is_turned_away() {
-    assert_eq!(Contention::default().decide(0.9), Verdict::Begins);
+    assert_eq!(
+        EngineLoad::default().decide(0.9),
+        AdmissionDecision::Admitted
+    );
 }
--- a/crates/stageyoke-policy/tests/program_quota_test.rs
+++ b/crates/stageyoke-policy/tests/program_quota_test.rs
@@ -6,19 +6,19 @@
 use std::time::Duration;
 
 use rstest::rstest;
-use stageyoke_policy::bucket::Limit;
-use stageyoke_policy::quota::{Question, QuotaLedger, Tolerance, Verdict};
+use stageyoke_policy::quota::{AcquireRequest, QuotaDecision, QuotaLedger, QuotaTolerance};
+use stageyoke_policy::token_bucket::RateLimit;
 use stageyoke_policy::window::Window;
 use support::{Gate, Load, Seen, play, play_all};
 
 const SEEDS: u64 = 12;
-const TOLERANCE: Tolerance = Tolerance {
+const TOLERANCE: QuotaTolerance = QuotaTolerance {
     window: Duration::from_secs(5),
     excess: 0.1,
     slack: 20.0,
 };
 
-const EXACT: Tolerance = Tolerance {
+const EXACT: QuotaTolerance = QuotaTolerance {
     excess: 0.0,
     slack: 0.0,
     ..TOLERANCE
@@ -26,12 +26,12 @@
 
 /// Requests are granted as they come.
 struct AsTheyCome {
-    limit: Limit,
+    limit: RateLimit,
     windows: Vec<Window>,
 }
 
 impl AsTheyCome {
-    fn new(limit: Limit, tenants: u64) -> Self {
+    fn new(limit: RateLimit, tenants: u64) -> Self {
         let window = Window::new(TOLERANCE.window, Duration::ZERO);
         Self {
             limit,
@@ -55,28 +55,31 @@
 
 /// The owner's ledger.
 struct Ledger {
-    limit: Limit,
+    limit: RateLimit,
     ledger: QuotaLedger,
 }
 
 impl Gate for Ledger {
     fn ask(&mut self, tenant: u64, program: u64, now: Duration) -> Result<(), Duration> {
-        let question = Question {
+        let question = AcquireRequest {
             tenant,
             program,
             limit: self.limit,
             version: 1,
             standby: false,
         };
-        match self.ledger.ask(&question, now + Duration::from_secs(60)) {
-            Verdict::Granted => Ok(()),
-            Verdict::Refused(after) => Err(after),
-            Verdict::Unknown => panic!("the ledger has room"),
+        match self
+            .ledger
+            .acquire(&question, now + Duration::from_secs(60))
+        {
+            QuotaDecision::Granted => Ok(()),
+            QuotaDecision::Rejected(after) => Err(after),
+            QuotaDecision::Unknown => panic!("the ledger has room"),
         }
     }
 }
 
-fn sum(load: Load, mut gate: impl FnMut(Limit, u64) -> Seen) -> Seen {
+fn sum(load: Load, mut gate: impl FnMut(RateLimit, u64) -> Seen) -> Seen {
     let mut all = Seen::default();
     for seed in 0..SEEDS {
         let seen = gate(load.limit, seed);
@@ -97,7 +100,7 @@
 fn load(rate: f64, factor: f64) -> Load {
     Load {
         tenants: 8,
-        limit: Limit {
+        limit: RateLimit {
             per_second: rate,
             burst: rate,
         },
@@ -113,15 +116,15 @@
     })
 }
 
-fn by_program(load: Load, tolerance: Tolerance) -> Seen {
+fn by_program(load: Load, tolerance: QuotaTolerance) -> Seen {
     sum(load, |limit, seed| {
-        let ledger = QuotaLedger::default().tolerating(tolerance);
+        let ledger = QuotaLedger::default().with_tolerance(tolerance);
         play(load, &mut Ledger { limit, ledger }, seed)
     })
 }
 
 /// The most that may run beyond a limit: half of what is tolerated.
-fn overdraft(limit: Limit) -> i64 {
+fn overdraft(limit: RateLimit) -> i64 {
     let allowed = limit.per_second * TOLERANCE.window.as_secs_f64() + limit.burst;
     ((allowed * TOLERANCE.excess + TOLERANCE.slack) / 2.0).ceil() as i64
 }
@@ -171,7 +174,7 @@
     let mut others = vec![Seen::default(); load.tenants as usize - 1];
     for seed in 0..3 {
         let limit = load.limit;
-        let ledger = QuotaLedger::default().tolerating(TOLERANCE);
+        let ledger = QuotaLedger::default().with_tolerance(TOLERANCE);
         let all = play_all(load, &mut Ledger { limit, ledger }, seed);
         for (sum, seen) in others.iter_mut().zip(&all[1..]) {
             sum.begun += seen.begun;
--- a/crates/stageyoke-policy/tests/quota_test.rs
+++ b/crates/stageyoke-policy/tests/quota_test.rs
@@ -7,25 +7,27 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
-use stageyoke_policy::bucket::Limit;
-use stageyoke_policy::quota::{Question, QuotaLedger, Receipt, Tolerance, Verdict};
+use stageyoke_policy::quota::{
+    AcquireRequest, GrantReceipt, QuotaDecision, QuotaLedger, QuotaTolerance,
+};
+use stageyoke_policy::token_bucket::RateLimit;
 use stageyoke_policy::window::Window;
 
 const WINDOW: Duration = Duration::from_secs(5);
-const LIMIT: Limit = Limit {
+const LIMIT: RateLimit = RateLimit {
     per_second: 40.0,
     burst: 40.0,
 };
 
 /// Nothing is tolerated beyond a limit, which holds over the window.
-const EXACT: Tolerance = Tolerance {
+const EXACT: QuotaTolerance = QuotaTolerance {
     window: WINDOW,
     excess: 0.0,
     slack: 0.0,
 };
 
 fn ledger() -> QuotaLedger {
-    QuotaLedger::default().tolerating(EXACT)
+    QuotaLedger::default().with_tolerance(EXACT)
 }
 
 /// Long after an owner began to count.
@@ -37,8 +39,8 @@
     Duration::from_millis(time)
 }
 
-fn question(program: u64) -> Question {
-    Question {
+fn question(program: u64) -> AcquireRequest {
+    AcquireRequest {
         tenant: 1,
         program,
         limit: LIMIT,
@@ -60,7 +62,7 @@
     most
 }
 
-fn allowed(limit: Limit) -> usize {
+fn allowed(limit: RateLimit) -> usize {
     (limit.per_second * WINDOW.as_secs_f64() + limit.burst).ceil() as usize
 }
 
@@ -83,7 +85,7 @@
         for (number, pause) in pauses.into_iter().enumerate() {
             now += milliseconds(pause);
             let program = number as u64 % programs;
-            if ledger.ask(&question(program), now) == Verdict::Granted {
+            if ledger.acquire(&question(program), now) == QuotaDecision::Granted {
                 grants.push(now);
             }
         }
@@ -104,7 +106,7 @@
         for (number, pause) in pauses.into_iter().enumerate() {
             now += milliseconds(pause);
             let asked = usize::from(number >= dies_after);
-            if owners[asked].ask(&question(0), now) == Verdict::Granted {
+            if owners[asked].acquire(&question(0), now) == QuotaDecision::Granted {
                 grants.push(now);
                 if asked == 0 && number + lost < dies_after {
                     owners[1].count(&question(0), now);
@@ -123,23 +125,23 @@
         versions in 1_u64..4,
         restarted in any::<bool>(),
     ) {
-        let mut ledger = ledger().living(1);
+        let mut ledger = ledger().with_incarnation(1);
         let mut now = later(0);
         let mut ran = Vec::new();
-        let mut returns: BTreeMap<(Duration, usize), Receipt> = BTreeMap::new();
+        let mut returns: BTreeMap<(Duration, usize), GrantReceipt> = BTreeMap::new();
         for (number, (pause, fate, delay)) in requests.into_iter().enumerate() {
             now += milliseconds(pause);
             while let Some(((at, _), receipt)) = returns.first_key_value()
                 && *at <= now
             {
-                ledger.take_back(1, *receipt, now);
+                ledger.refund(1, *receipt, now);
                 returns.pop_first();
             }
-            let asked = Question {
+            let asked = AcquireRequest {
                 version: 1 + number as u64 * versions / 2500,
                 ..question(0)
             };
-            if ledger.ask(&asked, now) != Verdict::Granted {
+            if ledger.acquire(&asked, now) != QuotaDecision::Granted {
                 continue;
             }
             let receipt = ledger.receipt(1, now).expect("a receipt");
@@ -148,7 +150,7 @@
             if runs {
                 ran.push(now);
             } else if delay % 8 != 0 {
-                let receipt = Receipt { life: 1 + life, ..receipt };
+                let receipt = GrantReceipt { incarnation: 1 + life, ..receipt };
                 returns.insert((now + milliseconds(delay), number), receipt);
             }
         }
@@ -189,12 +191,12 @@
 fn an_owner_in_place_of_others_assumes_that_most_was_granted() {
     let granted_at_once = |standby: bool| {
         let mut ledger = ledger();
-        let asked = Question {
+        let asked = AcquireRequest {
             standby,
             ..question(0)
         };
         (0..400)
-            .filter(|_| ledger.ask(&asked, later(0)) == Verdict::Granted)
+            .filter(|_| ledger.acquire(&asked, later(0)) == QuotaDecision::Granted)
             .count()
     };
     assert_eq!(granted_at_once(false), 240, "it has counted for long");
@@ -204,24 +206,27 @@
 /// What was not run makes room at once, but only for as long as it was counted.
 #[test]
 fn a_request_that_was_not_run_is_there_again() {
-    let mut ledger = ledger().living(7);
+    let mut ledger = ledger().with_incarnation(7);
     let granted = |ledger: &mut QuotaLedger, time: u64| {
         let asks = 0..300;
-        asks.filter(|_| ledger.ask(&question(0), later(time)) == Verdict::Granted)
+        asks.filter(|_| ledger.acquire(&question(0), later(time)) == QuotaDecision::Granted)
             .count()
     };
     assert_eq!(granted(&mut ledger, 0), 240);
     let receipt = ledger.receipt(1, later(0)).expect("a receipt");
-    let of_another_life = Receipt { life: 8, ..receipt };
-    ledger.take_back(1, of_another_life, later(100));
+    let of_another_life = GrantReceipt {
+        incarnation: 8,
+        ..receipt
+    };
+    ledger.refund(1, of_another_life, later(100));
     assert_eq!(granted(&mut ledger, 100), 0);
     for _ in 0..3 {
-        ledger.take_back(1, receipt, later(100));
+        ledger.refund(1, receipt, later(100));
     }
     assert_eq!(granted(&mut ledger, 100), 3);
     // Its slot has left the window: nothing is there to be taken back.
     assert_eq!(granted(&mut ledger, 5_060), 237);
-    ledger.take_back(1, receipt, later(5_060));
+    ledger.refund(1, receipt, later(5_060));
     assert_eq!(granted(&mut ledger, 5_060), 0);
 }
 
@@ -240,11 +245,11 @@
 fn run_programs(pause: u64, told_programs: bool) -> Programs {
     let mut ledger = ledger();
     for number in 0..300 {
-        let other = Question {
+        let other = AcquireRequest {
             tenant: 2,
             ..question(1_000_000 + number / 30)
         };
-        let _ = ledger.ask(&other, later(0) - milliseconds((300 - number) * 100));
+        let _ = ledger.acquire(&other, later(0) - milliseconds((300 - number) * 100));
     }
     let mut running: Vec<(u64, u64, u32)> = Vec::new();
     let mut seen = Programs::default();
@@ -258,7 +263,7 @@
                 return true;
             }
             let asked = question(if told_programs { *program } else { 0 });
-            if ledger.ask(&asked, later(time)) != Verdict::Granted {
+            if ledger.acquire(&asked, later(time)) != QuotaDecision::Granted {
                 seen.cut += usize::from(*left < 30);
                 return false;
             }
@@ -302,20 +307,20 @@
 fn a_tenant_whose_limit_is_less_than_one_program_still_begins_one() {
     let mut ledger = ledger();
     for number in 0..400 {
-        let other = Question {
+        let other = AcquireRequest {
             tenant: 2,
             ..question(7)
         };
-        let _ = ledger.ask(&other, later(number * 10));
+        let _ = ledger.acquire(&other, later(number * 10));
     }
-    let small = Question {
-        limit: Limit {
+    let small = AcquireRequest {
+        limit: RateLimit {
             per_second: 1.0,
             burst: 1.0,
         },
         ..question(1)
     };
-    assert_eq!(ledger.ask(&small, later(4_000)), Verdict::Granted);
+    assert_eq!(ledger.acquire(&small, later(4_000)), QuotaDecision::Granted);
 }
 
 /// The newest configuration's limit holds; an older one changes nothing.
@@ -323,19 +328,22 @@
 fn the_newest_configurations_limit_holds() {
     let mut ledger = ledger();
     let now = later(0);
-    let lower = Question {
+    let lower = AcquireRequest {
         version: 2,
-        limit: Limit {
+        limit: RateLimit {
             per_second: 0.2,
             burst: 2.0,
         },
         ..question(0)
     };
-    assert_eq!(ledger.ask(&question(0), now), Verdict::Granted);
+    assert_eq!(ledger.acquire(&question(0), now), QuotaDecision::Granted);
     for asked in [&lower, &question(0), &lower] {
-        assert_eq!(ledger.ask(asked, now), Verdict::Granted);
+        assert_eq!(ledger.acquire(asked, now), QuotaDecision::Granted);
     }
-    assert!(matches!(ledger.ask(&question(0), now), Verdict::Refused(_)));
+    assert!(matches!(
+        ledger.acquire(&question(0), now),
+        QuotaDecision::Rejected(_)
+    ));
 }
 
 /// A limit is lowered while much of the former one was used: the lower one is there
@@ -352,12 +360,15 @@
     let mut ledger = ledger();
     let mut grants = Vec::new();
     for _ in 0..before {
-        assert_eq!(ledger.ask(&question(0), later(0)), Verdict::Granted);
+        assert_eq!(
+            ledger.acquire(&question(0), later(0)),
+            QuotaDecision::Granted
+        );
         grants.push(later(0));
     }
-    let lower = Question {
+    let lower = AcquireRequest {
         version: 2,
-        limit: Limit {
+        limit: RateLimit {
             per_second: 15.0,
             burst: 15.0,
         },
@@ -365,7 +376,7 @@
     };
     let mut at_once = 0;
     for time in 0..20_000 {
-        if ledger.ask(&lower, later(100 + time)) == Verdict::Granted {
+        if ledger.acquire(&lower, later(100 + time)) == QuotaDecision::Granted {
             at_once += usize::from(time < 400);
             grants.push(later(100 + time));
         }
@@ -381,17 +392,17 @@
 #[test]
 fn a_raised_limit_is_there_at_once_and_counts_everything() {
     let mut ledger = ledger();
-    let limited = |version: u64, per_second: f64| Question {
+    let limited = |version: u64, per_second: f64| AcquireRequest {
         version,
-        limit: Limit {
+        limit: RateLimit {
             per_second,
             burst: per_second,
         },
         ..question(0)
     };
-    let mut granted = |asked: &Question, time: u64, count: usize| {
+    let mut granted = |asked: &AcquireRequest, time: u64, count: usize| {
         let asks = 0..count;
-        asks.filter(|_| ledger.ask(asked, later(time)) == Verdict::Granted)
+        asks.filter(|_| ledger.acquire(asked, later(time)) == QuotaDecision::Granted)
             .count()
     };
     assert_eq!(granted(&limited(1, 40.0), 0, 200), 200);
@@ -409,14 +420,14 @@
 fn what_has_ended_is_forgotten_and_what_is_held_is_bounded() {
     let mut ledger = ledger();
     for number in 0..120_000 {
-        let asked = Question {
+        let asked = AcquireRequest {
             tenant: number % 12_000,
             ..question(number + 1)
         };
-        ledger.ask(&asked, later(number / 60));
+        ledger.acquire(&asked, later(number / 60));
         assert!(ledger.tenants() <= 10_000);
         assert!(ledger.programs() <= 50_000);
     }
-    ledger.ask(&question(1), Duration::from_secs(3_600));
+    ledger.acquire(&question(1), Duration::from_secs(3_600));
     assert_eq!((ledger.tenants(), ledger.programs()), (1, 1));
 }
--- a/crates/stageyoke-policy/tests/quota_ways_test.rs
+++ b/crates/stageyoke-policy/tests/quota_ways_test.rs
@@ -9,7 +9,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
-use stageyoke_policy::bucket::Limit;
+use stageyoke_policy::token_bucket::RateLimit;
 use stageyoke_policy::window::Window;
 
 const WINDOW_MILLISECONDS: usize = 5_000;
@@ -40,7 +40,7 @@
     front: usize,
 }
 
-fn arrivals(arrival: Arrival, limit: Limit, fronts: usize, seed: u64) -> Vec<Request> {
+fn arrivals(arrival: Arrival, limit: RateLimit, fronts: usize, seed: u64) -> Vec<Request> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut requests = Vec::new();
     for at in 0..DAY_MILLISECONDS {
@@ -78,7 +78,7 @@
 
 impl Outcome {
     /// Grants of the fullest window beyond rate and burst.
-    fn excess(&self, limit: Limit) -> i64 {
+    fn excess(&self, limit: RateLimit) -> i64 {
         let mut first = 0;
         let mut most = 0;
         for (last, at) in self.grants.iter().enumerate() {
@@ -104,7 +104,7 @@
 }
 
 impl Allowance {
-    fn new(limit: Limit) -> Self {
+    fn new(limit: RateLimit) -> Self {
         let window = Window::new(milliseconds(WINDOW_MILLISECONDS as u64), Duration::ZERO);
         let allowed = window.allowed(limit) as u32;
         Self { window, allowed }
@@ -121,7 +121,7 @@
 
 /// One message there and one back for each request, and one to the second owner
 /// for each grant. The way there only delays all requests alike.
-fn by_owner(requests: &[Request], limit: Limit) -> Outcome {
+fn by_owner(requests: &[Request], limit: RateLimit) -> Outcome {
     let mut allowance = Allowance::new(limit);
     let mut outcome = Outcome::default();
     for request in requests {
@@ -144,7 +144,7 @@
 
 /// A front leases what it expects to need in a while; what it does not use by then
 /// is lost.
-fn by_lease(requests: &[Request], limit: Limit, fronts: usize) -> Outcome {
+fn by_lease(requests: &[Request], limit: RateLimit, fronts: usize) -> Outcome {
     let mut allowance = Allowance::new(limit);
     let mut leases = vec![Lease::default(); fronts];
     let mut outcome = Outcome::default();
@@ -174,7 +174,7 @@
 
 /// Each front counts by itself, and hears of the others' grants with its exchanges
 /// of records, as stores had heard of them by then.
-fn by_told_counts(requests: &[Request], limit: Limit, fronts: usize) -> Outcome {
+fn by_told_counts(requests: &[Request], limit: RateLimit, fronts: usize) -> Outcome {
     let pause = (fronts as f64 / EXCHANGES_PER_SECOND * 1_000.0).max(1.0) as u64;
     let mut allowances = vec![Allowance::new(limit); fronts];
     let mut untold = vec![0_usize; fronts];
@@ -207,7 +207,7 @@
 }
 
 /// The rule of the strictest known deployment: a tenth and 20 requests.
-fn tolerated(limit: Limit) -> i64 {
+fn tolerated(limit: RateLimit) -> i64 {
     let allowed = limit.per_second * WINDOW_MILLISECONDS as f64 / 1_000.0 + limit.burst;
     (allowed * 0.1) as i64 + 20
 }
@@ -227,7 +227,7 @@
     arrival: Arrival,
     #[values(22.0, 462.0)] rate: f64,
 ) {
-    let limit = Limit {
+    let limit = RateLimit {
         per_second: rate,
         burst: rate,
     };
--- a/crates/stageyoke-policy/tests/support/mod.rs
+++ b/crates/stageyoke-policy/tests/support/mod.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use stageyoke_policy::bucket::Limit;
+use stageyoke_policy::token_bucket::RateLimit;
 
 /// Decides on a request of a program at a moment; `Err` tells when to come back.
 pub trait Gate {
@@ -19,7 +19,7 @@
     /// Tenants, one of which is watched.
     pub tenants: u64,
     /// Limit of each.
-    pub limit: Limit,
+    pub limit: RateLimit,
     /// Traffic of the watched tenant against its usual one.
     pub factor: f64,
     /// Traffic of the others against theirs.
--- a/crates/stageyoke-store/src/groups.rs
+++ b/crates/stageyoke-store/src/groups.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use stageyoke_directory::{Freshness, GroupNumber, Member, StoreGroups, Tolerance};
-use stageyoke_policy::quota::Question;
+use stageyoke_policy::quota::AcquireRequest;
 use stageyoke_types::Text;
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::time::Instant;
@@ -106,7 +106,7 @@
 
     /// Asks the stores that count a tenant's requests for one more; `None` where
     /// none of them answers.
-    pub async fn ask_quota(&self, question: Question) -> Option<Ruling> {
+    pub async fn ask_quota(&self, question: AcquireRequest) -> Option<Ruling> {
         let client = |node: &Text| self.client(node);
         self.owners.ask(question, client).await
     }
--- a/crates/stageyoke-store/src/keeper.rs
+++ b/crates/stageyoke-store/src/keeper.rs
@@ -12,7 +12,7 @@
     AgeLimits, DirectoryMark, DirectorySource, Freshness, GroupNumber, Members, StoreGroups,
 };
 use stageyoke_observe as observe;
-use stageyoke_policy::quota::{QuotaLedger, Tolerance as QuotaTolerance};
+use stageyoke_policy::quota::{QuotaLedger, QuotaTolerance};
 use stageyoke_types::{Event, List, Text};
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::oneshot;
@@ -125,8 +125,8 @@
 
     /// The same, where the operator tolerates so much beyond tenants' limits.
     pub fn tolerating(self, tolerance: QuotaTolerance) -> Self {
-        let quotas = self.quotas.take().tolerating(tolerance);
-        let quotas = quotas.living(rand::random());
+        let quotas = self.quotas.take().with_tolerance(tolerance);
+        let quotas = quotas.with_incarnation(rand::random());
         self.quotas.replace(quotas);
         self
     }
@@ -232,7 +232,7 @@
         }
         self.members_since.set(Instant::now());
         let now = self.started.elapsed();
-        self.quotas.borrow_mut().owners_changed(now);
+        self.quotas.borrow_mut().handle_owner_change(now);
         let mut held_by_peers = self.held_by_peers.borrow_mut();
         held_by_peers.retain(|node, _| members.get(node).is_some());
     }
--- a/crates/stageyoke-store/src/keeper/answers.rs
+++ b/crates/stageyoke-store/src/keeper/answers.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use stageyoke_directory::GroupNumber;
-use stageyoke_policy::quota::Verdict;
+use stageyoke_policy::quota::QuotaDecision;
 use stageyoke_types::{List, Text};
 
 use super::Keeper;
@@ -123,7 +123,7 @@
             Request::QuotaReturned { tenant, receipt } => {
                 let now = self.started.elapsed();
                 let mut quotas = self.quotas.borrow_mut();
-                quotas.take_back(tenant, receipt.into(), now);
+                quotas.refund(tenant, receipt.into(), now);
                 Reply::Pong
             }
             Request::NewerStores(stores) => {
@@ -287,21 +287,21 @@
         };
         let now = self.started.elapsed();
         let mut quotas = self.quotas.borrow_mut();
-        let verdict = match pressed || quotas.knows_window(question.tenant, now) {
-            true => quotas.ask(&question, now),
-            false => Verdict::Unknown,
+        let verdict = match pressed || quotas.has_full_window(question.tenant, now) {
+            true => quotas.acquire(&question, now),
+            false => QuotaDecision::Unknown,
         };
         let after = match verdict {
-            Verdict::Refused(after) => after,
-            Verdict::Granted | Verdict::Unknown => Duration::ZERO,
+            QuotaDecision::Rejected(after) => after,
+            QuotaDecision::Granted | QuotaDecision::Unknown => Duration::ZERO,
         };
         let receipt = match verdict {
-            Verdict::Granted => quotas.receipt(question.tenant, now),
-            Verdict::Refused(_) | Verdict::Unknown => None,
+            QuotaDecision::Granted => quotas.receipt(question.tenant, now),
+            QuotaDecision::Rejected(_) | QuotaDecision::Unknown => None,
         };
         Reply::Quota(QuotaAnswer {
-            known: verdict != Verdict::Unknown,
-            granted: verdict == Verdict::Granted,
+            known: verdict != QuotaDecision::Unknown,
+            granted: verdict == QuotaDecision::Granted,
             retry_after_milliseconds: u32::try_from(after.as_millis()).unwrap_or(u32::MAX),
             fronts: u16::try_from(self.loads.fronts()).unwrap_or(u16::MAX),
             receipt: receipt.unwrap_or_default().into(),
--- a/crates/stageyoke-store/src/message.rs
+++ b/crates/stageyoke-store/src/message.rs
@@ -2,8 +2,8 @@
 
 use nanoserde::{DeBin, SerBin};
 use stageyoke_directory::{DirectoryMark, GroupNumber, StoreGroups};
-use stageyoke_policy::bucket::Limit;
-use stageyoke_policy::quota::{Question, Receipt};
+use stageyoke_policy::quota::{AcquireRequest, GrantReceipt};
+use stageyoke_policy::token_bucket::RateLimit;
 use stageyoke_types::{Blob, List, Text};
 
 /// One finished turn of a program whose history is kept. Immutable.
@@ -250,8 +250,8 @@
     pub pressed: bool,
 }
 
-impl From<Question> for QuotaQuestion {
-    fn from(question: Question) -> Self {
+impl From<AcquireRequest> for QuotaQuestion {
+    fn from(question: AcquireRequest) -> Self {
         Self {
             tenant: question.tenant,
             program: question.program,
@@ -266,14 +266,14 @@
 
 impl QuotaQuestion {
     /// The question, if its limit is one.
-    pub fn checked(self) -> Option<Question> {
-        let limit = Limit {
+    pub fn checked(self) -> Option<AcquireRequest> {
+        let limit = RateLimit {
             per_second: self.per_second,
             burst: self.burst,
         };
         let sound = limit.per_second.is_finite() && limit.burst.is_finite();
         let sound = sound && limit.per_second > 0.0 && limit.burst >= 0.0;
-        sound.then_some(Question {
+        sound.then_some(AcquireRequest {
             tenant: self.tenant,
             program: self.program,
             limit,
@@ -310,22 +310,22 @@
     pub life: u64,
 }
 
-impl From<Receipt> for QuotaReceipt {
-    fn from(receipt: Receipt) -> Self {
+impl From<GrantReceipt> for QuotaReceipt {
+    fn from(receipt: GrantReceipt) -> Self {
         Self {
             slot: receipt.slot,
             version: receipt.version,
-            life: receipt.life,
+            life: receipt.incarnation,
         }
     }
 }
 
-impl From<QuotaReceipt> for Receipt {
+impl From<QuotaReceipt> for GrantReceipt {
     fn from(receipt: QuotaReceipt) -> Self {
         Self {
             slot: receipt.slot,
             version: receipt.version,
-            life: receipt.life,
+            incarnation: receipt.life,
         }
     }
 }
--- a/crates/stageyoke-store/src/owners.rs
+++ b/crates/stageyoke-store/src/owners.rs
@@ -13,7 +13,7 @@
 
 use stageyoke_directory::{StoreGroups, Tolerance};
 use stageyoke_observe::metrics;
-use stageyoke_policy::quota::{Question, Verdict};
+use stageyoke_policy::quota::{AcquireRequest, QuotaDecision};
 use stageyoke_types::Text;
 use stageyoke_types::hash::mix;
 use tokio::time::Instant;
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ruling {
     /// Whether the request may be made.
-    pub verdict: Verdict,
+    pub verdict: QuotaDecision,
     /// Fronts that the owner hears from.
     pub fronts: u16,
     /// The grant, if it is one.
@@ -174,7 +174,7 @@
     /// does not know the whole window decides only where none does.
     pub async fn ask(
         &self,
-        question: Question,
+        question: AcquireRequest,
         client: impl Fn(&Text) -> Option<Rc<StoreClient>>,
     ) -> Option<Ruling> {
         let ranking = self.ranking(question.tenant);
@@ -184,7 +184,7 @@
         let mut unsure: Vec<&Text> = Vec::new();
         for node in trusted {
             match self.ask_one(node, question, Asking::Usual, &client).await {
-                Some(ruling) if ruling.verdict != Verdict::Unknown => {
+                Some(ruling) if ruling.verdict != QuotaDecision::Unknown => {
                     return Some(ranking.settle(node, question, ruling, client));
                 }
                 Some(_) => unsure.push(node),
@@ -207,7 +207,7 @@
     async fn ask_one(
         &self,
         node: &Text,
-        question: Question,
+        question: AcquireRequest,
         asking: Asking,
         client: &impl Fn(&Text) -> Option<Rc<StoreClient>>,
     ) -> Option<Ruling> {
@@ -234,11 +234,11 @@
     fn settle(
         &self,
         node: &Text,
-        question: Question,
+        question: AcquireRequest,
         ruling: Ruling,
         client: impl Fn(&Text) -> Option<Rc<StoreClient>>,
     ) -> Ruling {
-        if ruling.verdict == Verdict::Granted {
+        if ruling.verdict == QuotaDecision::Granted {
             let others = self.counting.iter().filter(|other| *other != node);
             tell_granted(question, others.filter_map(client));
         }
@@ -248,7 +248,7 @@
 
 /// Tells other owners of a grant. One that does not hear of it may grant as
 /// much again where it goes on for the first.
-fn tell_granted(question: Question, others: impl Iterator<Item = Rc<StoreClient>>) {
+fn tell_granted(question: AcquireRequest, others: impl Iterator<Item = Rc<StoreClient>>) {
     for other in others {
         let request = Request::QuotaGranted(QuotaQuestion::from(question));
         tokio::task::spawn_local(tell(other, request));
@@ -280,11 +280,11 @@
     fn of(answer: QuotaAnswer, owner: &Text, tenant: u64) -> Self {
         let after = Duration::from_millis(u64::from(answer.retry_after_milliseconds));
         let verdict = match (answer.known, answer.granted) {
-            (false, _) => Verdict::Unknown,
-            (true, true) => Verdict::Granted,
-            (true, false) => Verdict::Refused(after),
+            (false, _) => QuotaDecision::Unknown,
+            (true, true) => QuotaDecision::Granted,
+            (true, false) => QuotaDecision::Rejected(after),
         };
-        let grant = (verdict == Verdict::Granted).then(|| Grant {
+        let grant = (verdict == QuotaDecision::Granted).then(|| Grant {
             owner: owner.clone(),
             tenant,
             receipt: answer.receipt,
--- a/crates/stageyoke-store/src/role.rs
+++ b/crates/stageyoke-store/src/role.rs
@@ -35,7 +35,7 @@
 use crate::sync::Peers;
 use crate::waiting::Counts;
 use stageyoke_observe as observe;
-use stageyoke_policy::quota::Tolerance as QuotaTolerance;
+use stageyoke_policy::quota::QuotaTolerance;
 
 const TICK: Duration = Duration::from_millis(1000);
 const QUICK_TICK: Duration = Duration::from_millis(150);
--- a/crates/stageyoke-store/tests/owners_test.rs
+++ b/crates/stageyoke-store/tests/owners_test.rs
@@ -8,8 +8,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use stageyoke_directory::{Member, MemberState, Members, StoreGroups, Tolerance};
-use stageyoke_policy::bucket::Limit;
-use stageyoke_policy::quota::{Question, QuotaLedger, Verdict};
+use stageyoke_policy::quota::{AcquireRequest, QuotaDecision, QuotaLedger};
+use stageyoke_policy::token_bucket::RateLimit;
 use stageyoke_store::Groups;
 use stageyoke_store::frame;
 use stageyoke_store::message::{Numbered, QuotaAnswer, Reply, Request};
@@ -20,10 +20,10 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
-const QUESTION: Question = Question {
+const QUESTION: AcquireRequest = AcquireRequest {
     tenant: 77,
     program: 0,
-    limit: Limit {
+    limit: RateLimit {
         per_second: 0.001,
         burst: 10.0,
     },
@@ -55,14 +55,14 @@
                 let pressed = question.pressed || question.standby;
                 let question = question.checked()?;
                 let mut ledger = self.ledger.borrow_mut();
-                let verdict = match pressed || ledger.knows_window(question.tenant, now) {
-                    true => ledger.ask(&question, now),
-                    false => Verdict::Unknown,
+                let verdict = match pressed || ledger.has_full_window(question.tenant, now) {
+                    true => ledger.acquire(&question, now),
+                    false => QuotaDecision::Unknown,
                 };
-                let granted = verdict == Verdict::Granted;
+                let granted = verdict == QuotaDecision::Granted;
                 let receipt = ledger.receipt(question.tenant, now);
                 let answer = QuotaAnswer {
-                    known: verdict != Verdict::Unknown,
+                    known: verdict != QuotaDecision::Unknown,
                     granted,
                     receipt: receipt.unwrap_or_default().into(),
                     ..QuotaAnswer::default()
@@ -76,7 +76,7 @@
             }
             Request::QuotaReturned { tenant, receipt } => {
                 let mut ledger = self.ledger.borrow_mut();
-                ledger.take_back(tenant, receipt.into(), now);
+                ledger.refund(tenant, receipt.into(), now);
                 Some(Reply::Pong)
             }
             _ => Some(Reply::Pong),
@@ -156,7 +156,7 @@
         let mut granted = 0;
         for _ in 0..asked {
             let ruling = self.groups.ask_quota(QUESTION).await;
-            granted += usize::from(ruling.is_some_and(|it| it.verdict == Verdict::Granted));
+            granted += usize::from(ruling.is_some_and(|it| it.verdict == QuotaDecision::Granted));
         }
         granted
     }
@@ -241,7 +241,7 @@
         // The other one dies: the new one decides as well as it can, at once.
         world.owners[1].silent.set(true);
         let ruling = world.groups.ask_quota(QUESTION).await.expect("a ruling");
-        assert_ne!(ruling.verdict, Verdict::Unknown);
+        assert_ne!(ruling.verdict, QuotaDecision::Unknown);
     };
     LocalSet::new().run_until(test).await;
 }
--- a/crates/stageyoke-store/tests/quota_error_test.rs
+++ b/crates/stageyoke-store/tests/quota_error_test.rs
@@ -11,8 +11,8 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
-use stageyoke_policy::bucket::Limit;
-use stageyoke_policy::quota::{Question, QuotaLedger, Tolerance, Verdict};
+use stageyoke_policy::quota::{AcquireRequest, QuotaDecision, QuotaLedger, QuotaTolerance};
+use stageyoke_policy::token_bucket::RateLimit;
 use stageyoke_store::frame;
 use stageyoke_store::message::{Numbered, QuotaAnswer, QuotaQuestion, Reply, Request};
 
@@ -120,7 +120,7 @@
     front: usize,
 }
 
-fn arrivals(arrival: Arrival, limit: Limit, fronts: usize, seed: u64) -> Vec<Arriving> {
+fn arrivals(arrival: Arrival, limit: RateLimit, fronts: usize, seed: u64) -> Vec<Arriving> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut requests = Vec::new();
     for at in 0..DAY / 1_000 {
@@ -192,15 +192,15 @@
     ]
 }
 
-fn limit(rate: f64) -> Limit {
-    Limit {
+fn limit(rate: f64) -> RateLimit {
+    RateLimit {
         per_second: rate,
         burst: rate,
     }
 }
 
-fn question(limit: Limit) -> Question {
-    Question {
+fn question(limit: RateLimit) -> AcquireRequest {
+    AcquireRequest {
         tenant: 1,
         program: 0,
         limit,
@@ -214,7 +214,7 @@
     Duration::from_secs(100) + Duration::from_micros(at)
 }
 
-fn allowed(limit: Limit) -> usize {
+fn allowed(limit: RateLimit) -> usize {
     (limit.per_second * 5.0 + limit.burst).ceil() as usize
 }
 
@@ -232,7 +232,7 @@
 }
 
 /// What a count that knows each request at once would grant.
-fn granted_exactly(requests: &[Arriving], limit: Limit) -> usize {
+fn granted_exactly(requests: &[Arriving], limit: RateLimit) -> usize {
     let mut recent: VecDeque<u64> = VecDeque::new();
     let mut granted = 0;
     let mut times: Vec<u64> = requests.iter().map(|request| request.at).collect();
@@ -252,13 +252,13 @@
 /// Whose limit it is, and who holds it.
 #[derive(Clone, Copy, Debug)]
 struct Load {
-    limit: Limit,
+    limit: RateLimit,
     fronts: usize,
     counting: usize,
 }
 
 fn ledger() -> QuotaLedger {
-    QuotaLedger::default().tolerating(Tolerance {
+    QuotaLedger::default().with_tolerance(QuotaTolerance {
         window: Duration::from_micros(WINDOW),
         excess: 0.0,
         slack: 0.0,
@@ -296,7 +296,7 @@
             Happening::Return if fate == Fate::TwoReturn => {
                 for owner in &mut owners[..2] {
                     *owner = ledger();
-                    owner.owners_changed(moment(at));
+                    owner.handle_owner_change(moment(at));
                 }
             }
             Happening::Return => {}
@@ -320,7 +320,7 @@
             Happening::Asked(mut path, owner, pressed) => {
                 seen.messages += 1;
                 seen.bytes += answering;
-                if !pressed && !owners[owner].knows_window(usual.tenant, moment(at)) {
+                if !pressed && !owners[owner].has_full_window(usual.tenant, moment(at)) {
                     path.unsure[owner] = true;
                     happenings.push(Reverse((at + way(), Happening::Leaves(path))));
                     continue;
@@ -328,11 +328,11 @@
                 while recent.front().is_some_and(|first| *first + WINDOW <= at) {
                     recent.pop_front();
                 }
-                let asked = Question {
+                let asked = AcquireRequest {
                     standby: owner >= counting,
                     ..usual
                 };
-                if owners[owner].ask(&asked, moment(at)) != Verdict::Granted {
+                if owners[owner].acquire(&asked, moment(at)) != QuotaDecision::Granted {
                     seen.refused += 1;
                     seen.wrongly += usize::from(recent.len() < allowed(limit));
                     continue;
