--- a/crates/stageyoke-directory/src/freshness.rs
+++ b/crates/stageyoke-directory/src/freshness.rs
@@ -10,74 +10,76 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::absence::{Absence, AbsenceLimits, AbsenceWatch};
+use crate::outage::{OutageDetector, OutageThresholds, ServiceOutage};
 
 /// Part of the bound on changes after which an answer is asked for.
-const RENEW_PART: f64 = 0.6;
+const REFRESH_FRACTION: f64 = 0.6;
 /// The same for the processes that ask first, so that the others hear of it
 /// from them in time: the answers that bring a change reach all at one moment.
-const RENEW_FIRST_PART: f64 = 0.4;
+const EARLY_REFRESH_FRACTION: f64 = 0.4;
 /// Part of the bound that one such answer may take; with the part above it
 /// leaves a tenth of the bound for a request's way to its replica.
-const ANSWER_PART: f64 = 0.3;
+const ANSWER_TIMEOUT_FRACTION: f64 = 0.3;
 /// Part of the time for an answer that one takes at most in calm.
-const USUAL_ANSWER_PART: f64 = 0.33;
+const NORMAL_ANSWER_FRACTION: f64 = 0.33;
 /// Part of the bound beyond which a request waits for a younger directory.
-const ACT_PART: f64 = 0.8;
+const MAX_USABLE_AGE_FRACTION: f64 = 0.8;
 /// Part of the bound that lies at most between two tries to reach the service.
-const BACKOFF_PART: f64 = 0.25;
+const MAX_BACKOFF_FRACTION: f64 = 0.25;
 /// Bounds on changes without a request after which a directory that only
 /// requests act on is left to age.
-const IDLE_BOUNDS: u32 = 2;
+const IDLE_TIMEOUT_BOUNDS: u32 = 2;
 /// Bound on changes where the settings name none: the shortest of the
 /// deployments.
-const DEFAULT_BOUND: Duration = Duration::from_millis(2000);
+const DEFAULT_CHANGE_BOUND: Duration = Duration::from_millis(2000);
 
 /// How old the directory may get.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AgeLimits {
     /// Age at which an answer of the service is asked for.
-    pub renew_after: Duration,
+    pub refresh_after: Duration,
     /// The same for a process that asks first, on behalf of others.
-    pub renew_first_after: Duration,
+    pub early_refresh_after: Duration,
     /// Time for that answer; then the service counts as unreachable.
-    pub answer_within: Duration,
+    pub answer_timeout: Duration,
     /// Age beyond which a request waits for that answer.
-    pub act_within: Duration,
+    pub max_usable_age: Duration,
     /// Longest pause between two tries while the service is unreachable.
-    pub longest_backoff: Duration,
+    pub max_backoff: Duration,
     /// Time without use after which nothing is asked for.
-    pub idle_after: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl AgeLimits {
     /// The limits where a change must be in force within `bound`.
-    pub fn within(bound: Duration) -> Self {
+    pub fn for_change_bound(bound: Duration) -> Self {
         Self {
-            renew_after: bound.mul_f64(RENEW_PART),
-            renew_first_after: bound.mul_f64(RENEW_FIRST_PART),
-            answer_within: bound.mul_f64(ANSWER_PART),
-            act_within: bound.mul_f64(ACT_PART),
-            longest_backoff: bound.mul_f64(BACKOFF_PART),
-            idle_after: bound * IDLE_BOUNDS,
+            refresh_after: bound.mul_f64(REFRESH_FRACTION),
+            early_refresh_after: bound.mul_f64(EARLY_REFRESH_FRACTION),
+            answer_timeout: bound.mul_f64(ANSWER_TIMEOUT_FRACTION),
+            max_usable_age: bound.mul_f64(MAX_USABLE_AGE_FRACTION),
+            max_backoff: bound.mul_f64(MAX_BACKOFF_FRACTION),
+            idle_timeout: bound * IDLE_TIMEOUT_BOUNDS,
         }
     }
 }
 
 impl AgeLimits {
     /// Finds absences of the service, where entries are renewed with this pause.
-    fn absence_watch(&self, heartbeat: Duration) -> AbsenceWatch {
-        AbsenceWatch::new(AbsenceLimits {
-            heartbeat,
-            usual: self.renew_after + self.answer_within.mul_f64(USUAL_ANSWER_PART),
-            usable_for: self.act_within + self.answer_within.mul_f64(USUAL_ANSWER_PART),
+    fn outage_detector(&self, heartbeat: Duration) -> OutageDetector {
+        OutageDetector::new(OutageThresholds {
+            heartbeat_interval: heartbeat,
+            max_answer_interval: self.refresh_after
+                + self.answer_timeout.mul_f64(NORMAL_ANSWER_FRACTION),
+            min_usable_time: self.max_usable_age
+                + self.answer_timeout.mul_f64(NORMAL_ANSWER_FRACTION),
         })
     }
 }
 
 impl Default for AgeLimits {
     fn default() -> Self {
-        Self::within(DEFAULT_BOUND)
+        Self::for_change_bound(DEFAULT_CHANGE_BOUND)
     }
 }
 
@@ -95,18 +97,18 @@
 #[derive(Debug)]
 pub struct Freshness {
     limits: AgeLimits,
-    only_by_requests: bool,
-    asks_first: Cell<bool>,
+    used_only_by_requests: bool,
+    refreshes_early: Cell<bool>,
     revision: Cell<u64>,
     last_change: Cell<u64>,
     confirmed_at: Cell<Option<Instant>>,
-    used_at: Cell<Option<Instant>>,
+    last_used_at: Cell<Option<Instant>>,
     unreachable: Cell<bool>,
-    absence: Cell<AbsenceWatch>,
-    used_again: Notify,
-    settled: Notify,
-    behind: Notify,
-    peers_back: Notify,
+    outages: Cell<OutageDetector>,
+    use_resumed: Notify,
+    refresh_finished: Notify,
+    lagging: Notify,
+    peers_reachable: Notify,
 }
 
 impl Freshness {
@@ -115,18 +117,18 @@
     pub fn new(limits: AgeLimits, only_by_requests: bool) -> Self {
         Self {
             limits,
-            only_by_requests,
-            asks_first: Cell::new(false),
+            used_only_by_requests: only_by_requests,
+            refreshes_early: Cell::new(false),
             revision: Cell::new(0),
             last_change: Cell::new(0),
             confirmed_at: Cell::new(None),
-            used_at: Cell::new(None),
+            last_used_at: Cell::new(None),
             unreachable: Cell::new(false),
-            absence: Cell::new(limits.absence_watch(Duration::ZERO)),
-            used_again: Notify::new(),
-            settled: Notify::new(),
-            behind: Notify::new(),
-            peers_back: Notify::new(),
+            outages: Cell::new(limits.outage_detector(Duration::ZERO)),
+            use_resumed: Notify::new(),
+            refresh_finished: Notify::new(),
+            lagging: Notify::new(),
+            peers_reachable: Notify::new(),
         }
     }
 
@@ -136,8 +138,8 @@
     }
 
     /// Whether this process asks before others get old, which hear from it.
-    pub fn set_asks_first(&self, asks_first: bool) {
-        self.asks_first.set(asks_first);
+    pub fn set_early_refresh(&self, asks_first: bool) {
+        self.refreshes_early.set(asks_first);
     }
 
     /// When the directory was last known to hold every change; `None` before the
@@ -162,85 +164,85 @@
         }
         self.advance(as_of);
         self.unreachable.set(false);
-        self.settled.notify_waiters();
+        self.refresh_finished.notify_waiters();
     }
 
     /// The service gave no usable answer in time to what was asked at `asked`.
-    pub fn fail(&self, asked: Instant) {
-        self.watch_absence(|absence| absence.note_failed(asked));
+    pub fn record_failure(&self, asked: Instant) {
+        self.update_outages(|absence| absence.record_failure(asked));
         self.unreachable.set(true);
-        self.settled.notify_waiters();
+        self.refresh_finished.notify_waiters();
     }
 
     /// Entries are renewed by heartbeats with this pause.
-    pub fn set_heartbeat(&self, heartbeat: Duration) {
-        self.absence.set(self.limits.absence_watch(heartbeat));
+    pub fn set_heartbeat_interval(&self, heartbeat: Duration) {
+        self.outages.set(self.limits.outage_detector(heartbeat));
     }
 
-    fn watch_absence(&self, note: impl FnOnce(&mut AbsenceWatch)) {
-        let mut absence = self.absence.get();
+    fn update_outages(&self, note: impl FnOnce(&mut OutageDetector)) {
+        let mut absence = self.outages.get();
         note(&mut absence);
-        self.absence.set(absence);
+        self.outages.set(absence);
     }
 
     /// Until when entries that are missing may come back, since the service was away;
     /// `None` where they have ended. The service has just answered as of that moment.
-    pub fn entries_back_until(&self, as_of: Instant) -> Option<Instant> {
-        let (absence, until) = self.absence_until(as_of)?;
-        (absence.witnessed && until > Instant::now()).then_some(until)
+    pub fn lapsed_entry_deadline(&self, as_of: Instant) -> Option<Instant> {
+        let (absence, until) = self.outage_and_deadline(as_of)?;
+        (absence.corroborated && until > Instant::now()).then_some(until)
     }
 
     /// The same where another process has told until when it takes them to come back:
     /// not beyond what this one knows, had it an answer meanwhile or had it none.
-    pub fn told_entries_back_until(&self, as_of: Instant, told: Instant) -> Option<Instant> {
-        let (_, until) = self.absence_until(as_of)?;
+    pub fn relayed_lapsed_entry_deadline(&self, as_of: Instant, told: Instant) -> Option<Instant> {
+        let (_, until) = self.outage_and_deadline(as_of)?;
         let until = until.min(told);
         (until > Instant::now()).then_some(until)
     }
 
-    fn absence_until(&self, as_of: Instant) -> Option<(Absence, Instant)> {
-        self.watch_absence(|absence| absence.note_answered(as_of));
-        let watch = self.absence.get();
-        let absence = watch.last()?;
-        Some((absence, watch.limits().entries_back_until(&absence)))
+    fn outage_and_deadline(&self, as_of: Instant) -> Option<(ServiceOutage, Instant)> {
+        self.update_outages(|absence| absence.record_answer(as_of));
+        let watch = self.outages.get();
+        let absence = watch.last_outage()?;
+        Some((absence, watch.thresholds().lapsed_entry_deadline(&absence)))
     }
 
     /// Another process was heard, which last had an answer of the service then.
-    pub fn hear_peer(&self, answered_at: Instant) {
-        self.watch_absence(|absence| absence.note_peer(answered_at, Instant::now()));
+    pub fn apply_peer_contact(&self, answered_at: Instant) {
+        self.update_outages(|absence| absence.record_peer_answer(answered_at, Instant::now()));
     }
 
     /// Other processes answer again after none did: if this one got no answer of
     /// the service meanwhile, they may have.
-    pub fn note_peers_back(&self) {
+    pub fn report_peers_reachable(&self) {
         if self.unreachable.get() {
-            self.peers_back.notify_one();
+            self.peers_reachable.notify_one();
         }
     }
 
     /// Returns once other processes answer again while the service does not.
-    pub async fn peers_back(&self) {
-        self.peers_back.notified().await;
+    pub async fn wait_for_peers(&self) {
+        self.peers_reachable.notified().await;
     }
 
     /// Whether the last try to get an answer failed.
-    pub fn unreachable(&self) -> bool {
+    pub fn is_service_unreachable(&self) -> bool {
         self.unreachable.get()
     }
 
     /// Another process told of its directory, in answer to a message that was
     /// sent at `sent`. One that has seen no later change than this one, and
     /// heard from the service since, shows that there is none.
-    pub fn hear(&self, mark: DirectoryMark, sent: Instant) {
+    pub fn apply_peer_mark(&self, mark: DirectoryMark, sent: Instant) {
         let age = Duration::from_millis(u64::from(mark.age_milliseconds));
         if mark.last_change > 0
             && let Some(answered_at) = sent.checked_sub(age)
         {
-            self.hear_peer(answered_at);
+            self.apply_peer_contact(answered_at);
         }
         let known = self.confirmed_at.get().is_some();
         if known && mark.last_change > self.revision.get() {
-            self.behind.notify_one();
+            self.lagging.notify_one();
         }
         if known
             && mark.last_change > 0
@@ -253,8 +255,8 @@
 
     /// Returns once another process has told of a change that this directory
     /// does not hold.
-    pub async fn behind(&self) {
-        self.behind.notified().await;
+    pub async fn wait_until_lagging(&self) {
+        self.lagging.notified().await;
     }
 
     /// Revision up to which the directory holds every change.
@@ -276,52 +278,55 @@
     fn advance(&self, as_of: Instant) {
         let before = self.confirmed_at.get();
         self.confirmed_at.set(before.max(Some(as_of)));
-        self.watch_absence(|absence| absence.note_answered(as_of));
+        self.update_outages(|absence| absence.record_answer(as_of));
     }
 
     /// A request is about to act on the directory. Waits for a younger one if
     /// it is too old, at most as long as an answer may take; not while the
     /// service is known to be unreachable, nor before it was first heard.
-    pub async fn before_use(&self) {
-        let idle = self.idle();
-        self.used_at.set(Some(Instant::now()));
+    pub async fn ensure_fresh(&self) {
+        let idle = self.is_idle();
+        self.last_used_at.set(Some(Instant::now()));
         if idle {
-            self.used_again.notify_one();
+            self.use_resumed.notify_one();
         }
         let wait = async {
             loop {
-                let settled = self.settled.notified();
-                if !self.too_old_to_act() {
+                let settled = self.refresh_finished.notified();
+                if !self.is_too_stale() {
                     return;
                 }
                 settled.await;
             }
         };
         // What is known is used when the time is over: `fail` says why.
-        let _ = tokio::time::timeout(self.limits.answer_within, wait).await;
+        let _ = tokio::time::timeout(self.limits.answer_timeout, wait).await;
     }
 
-    fn too_old_to_act(&self) -> bool {
-        let old = self.age().is_some_and(|age| age > self.limits.act_within);
+    fn is_too_stale(&self) -> bool {
+        let old = self
+            .age()
+            .is_some_and(|age| age > self.limits.max_usable_age);
         old && !self.unreachable.get()
     }
 
     /// Whether nobody acts on the directory, so that it may age.
-    pub fn idle(&self) -> bool {
-        let used = self.used_at.get();
-        self.only_by_requests && used.is_none_or(|used| used.elapsed() > self.limits.idle_after)
+    pub fn is_idle(&self) -> bool {
+        let used = self.last_used_at.get();
+        self.used_only_by_requests
+            && used.is_none_or(|used| used.elapsed() > self.limits.idle_timeout)
     }
 
     /// Returns once the directory is in use and old enough to ask for an answer.
-    pub async fn overdue(&self) {
+    pub async fn wait_until_overdue(&self) {
         loop {
-            if self.idle() {
-                self.used_again.notified().await;
+            if self.is_idle() {
+                self.use_resumed.notified().await;
                 continue;
             }
-            let renew_after = match self.asks_first.get() {
-                true => self.limits.renew_first_after,
-                false => self.limits.renew_after,
+            let renew_after = match self.refreshes_early.get() {
+                true => self.limits.early_refresh_after,
+                false => self.limits.refresh_after,
             };
             let Some(confirmed_at) = self.confirmed_at.get() else {
                 return;
--- a/crates/stageyoke-directory/src/groups.rs
+++ b/crates/stageyoke-directory/src/groups.rs
@@ -14,7 +14,7 @@
 use crate::members::{Member, MemberState, Members, Tolerance, write_quorum};
 
 /// Smallest group to be formed: one store can be lost and a majority is left.
-pub const SMALLEST_GROUP: usize = 3;
+pub const MIN_GROUP_SIZE: usize = 3;
 
 /// A group's place among the groups, from zero on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
@@ -45,7 +45,7 @@
     }
 
     /// Whether the groups are formed. Nothing can have been kept before.
-    pub fn formed(&self) -> bool {
+    pub fn is_formed(&self) -> bool {
         !self.groups.is_empty()
     }
 
@@ -81,7 +81,7 @@
 
     /// The next version with another list for one group.
     pub fn with_group(&self, number: GroupNumber, members: Members) -> Self {
-        let mut next = self.next();
+        let mut next = self.next_version();
         if let Some(list) = next.groups.get_mut(number.index()) {
             *list = members;
         }
@@ -89,7 +89,7 @@
     }
 
     /// The next version, with nothing else changed.
-    pub fn next(&self) -> Self {
+    pub fn next_version(&self) -> Self {
         Self {
             version: self.version + 1,
             ..self.clone()
@@ -130,9 +130,9 @@
 /// zones. All stores where they are too few for that but enough for a write
 /// quorum; `None` where they are not.
 pub fn group_size(tolerance: &Tolerance, stores: &[Member]) -> Option<usize> {
-    let mut size = SMALLEST_GROUP.max(2 * tolerance.machines + 1);
+    let mut size = MIN_GROUP_SIZE.max(2 * tolerance.machines + 1);
     while size <= stores.len() {
-        if 2 * losses_of_spread(size, tolerance, stores) < size {
+        if 2 * max_losses_when_spread(size, tolerance, stores) < size {
             return Some(size);
         }
         size += 2;
@@ -142,13 +142,13 @@
 
 /// Disks of a group of this size that may be lost at once, if its members stand
 /// in as many zones as the stores do.
-fn losses_of_spread(size: usize, tolerance: &Tolerance, stores: &[Member]) -> usize {
+fn max_losses_when_spread(size: usize, tolerance: &Tolerance, stores: &[Member]) -> usize {
     let mut zones: Vec<&str> = stores.iter().map(|store| store.zone.as_str()).collect();
     zones.sort_unstable();
     zones.dedup();
     let mut zones_of_regions: BTreeMap<&str, usize> = BTreeMap::new();
     for zone in &zones {
-        let region = tolerance.regions_of_zones.get(*zone);
+        let region = tolerance.region_by_zone.get(*zone);
         let region = region.map_or(*zone, String::as_str);
         *zones_of_regions.entry(region).or_default() += 1;
     }
@@ -165,7 +165,7 @@
 /// for: the one that lacks the most living members of an ordinary group.
 /// Of several that lack as many each spare chooses one of its own, as far as
 /// hashes go. Where there is one group only, it takes every store.
-pub fn group_in_need(
+pub fn select_group_for_spare(
     groups: &StoreGroups,
     size: usize,
     node: &str,
@@ -177,13 +177,13 @@
     let serving = |members: &Members| members.list.iter().filter(|member| lives(member)).count();
     groups
         .numbered()
-        .map(|(number, members)| (serving(members), preference(node, number), number))
+        .map(|(number, members)| (serving(members), spare_preference(node, number), number))
         .filter(|(serving, _, _)| *serving < size)
         .min()
         .map(|(_, _, number)| number)
 }
 
 /// Order of the groups for one spare.
-fn preference(node: &str, number: GroupNumber) -> u64 {
+fn spare_preference(node: &str, number: GroupNumber) -> u64 {
     hash::of_bytes(node.bytes().chain(number.0.to_le_bytes()))
 }
--- a/crates/stageyoke-directory/src/key_value.rs
+++ b/crates/stageyoke-directory/src/key_value.rs
@@ -64,7 +64,7 @@
         revision: u64,
     },
     /// The service has forgotten the history; everything must be read again.
-    HistoryGone,
+    HistoryCompacted,
 }
 
 /// A condition of a transaction: the key's last change has this revision; zero
--- a/crates/stageyoke-directory/src/lib.rs
+++ b/crates/stageyoke-directory/src/lib.rs
@@ -2,13 +2,13 @@
 //! every service, and the store groups. All of it is followed
 //! from a key-value service, whose names and formats an adapter supplies.
 
-pub mod absence;
 pub mod freshness;
 pub mod groups;
 pub mod key_value;
 pub mod members;
 pub mod mirror;
 pub mod model;
+pub mod outage;
 pub mod relay;
 pub mod tenants;
 pub mod view;
@@ -20,14 +20,14 @@
     TransactionOutcome, WatchOutcome, Write,
 };
 pub use members::{Member, MemberState, Members, Quorums, Tolerance, write_quorum};
-pub use mirror::{Mirror, MirrorEvent, Pace};
+pub use mirror::{CallIntervals, Mirror, MirrorEvent};
 pub use model::{
-    EngineShape, Limits, ReplicaRecord, ReplicaStart, ReplicaState, Retirement, Route, RouteKind,
-    RouteTable, ServiceSpec, Target,
+    EngineShape, HttpLimits, ReplicaRecord, ReplicaStart, ReplicaState, Retirement, Route,
+    RouteKind, RouteTable, ServiceSpec, Target,
 };
 pub use relay::{
-    Acceptable, Confirming, DirectoryRelay, DirectorySource, Relayed, Telling, ToldChanges,
-    ToldItems, ToldRoutes,
+    DirectoryRelay, DirectorySource, RelayFuture, RelayReply, RelayRequirements, RelayedChanges,
+    RelayedItems, RelayedRoutes, RoutesFuture,
 };
-pub use tenants::{KeyDigest, RequestLimit, Tenant, Tenants};
+pub use tenants::{KeyDigest, RateLimit, Tenant, Tenants};
 pub use view::{Interpreter, Update, View};
--- a/crates/stageyoke-directory/src/members.rs
+++ b/crates/stageyoke-directory/src/members.rs
@@ -52,25 +52,25 @@
     }
 
     /// Whether the machine stays a member once the list is settled.
-    pub fn stays(&self, node: &str) -> bool {
+    pub fn remains_member(&self, node: &str) -> bool {
         contains(&self.list, node)
     }
 
     /// All members, also those that the change under way removes.
     pub fn all(&self) -> impl Iterator<Item = &Member> {
         let removed = self.before.iter();
-        let removed = removed.filter(|member| !self.stays(&member.node));
+        let removed = removed.filter(|member| !self.remains_member(&member.node));
         self.list.iter().chain(removed)
     }
 
     /// Whether no change is under way.
-    pub fn settled(&self) -> bool {
+    pub fn is_settled(&self) -> bool {
         self.before.is_empty()
     }
 
     /// The next version with `member` added, or its entry replaced wherever it
     /// stands. A member may be added so only while nothing can be kept.
-    pub fn with(&self, member: Member) -> Self {
+    pub fn with_member(&self, member: Member) -> Self {
         let mut next = Self {
             version: self.version + 1,
             ..self.clone()
@@ -89,8 +89,8 @@
     /// The next version, in which a change to this list is under way. A change
     /// that is under way already gets another aim: what was kept meanwhile has a
     /// quorum of the members before.
-    pub fn changing_to(&self, list: List<Member>) -> Self {
-        let before = match self.settled() {
+    pub fn start_change(&self, list: List<Member>) -> Self {
+        let before = match self.is_settled() {
             true => self.list.clone(),
             false => self.before.clone(),
         };
@@ -102,7 +102,7 @@
     }
 
     /// The next version, in which the change under way is settled.
-    pub fn settle(&self) -> Self {
+    pub fn settle_change(&self) -> Self {
         Self {
             version: self.version + 1,
             list: self.list.clone(),
@@ -111,7 +111,7 @@
     }
 
     /// The next version, in which the change under way is given up.
-    pub fn give_up(&self) -> Self {
+    pub fn abandon_change(&self) -> Self {
         Self {
             version: self.version + 1,
             list: self.before.clone(),
@@ -143,33 +143,33 @@
 
     /// The write quorums in force. `None` while the group is too small for one.
     pub fn quorums(&self, tolerance: &Tolerance) -> Option<Quorums> {
-        let before = match self.settled() {
+        let before = match self.is_settled() {
             true => 0,
             false => write_quorum(&self.before, tolerance)?,
         };
         Some(Quorums {
-            of_list: write_quorum(&self.list, tolerance)?,
-            of_before: before,
+            current: write_quorum(&self.list, tolerance)?,
+            previous: before,
         })
     }
 
     /// Whether these members are a write quorum of the list and, during a change, of
     /// the members before. A record that is on them is kept; one that so many
     /// complete members miss is known not to be.
-    pub fn reach(&self, quorums: Quorums, counts: impl Fn(&Member) -> bool) -> bool {
+    pub fn has_quorum(&self, quorums: Quorums, counts: impl Fn(&Member) -> bool) -> bool {
         let counted = |list: &[Member]| list.iter().filter(|member| counts(member)).count();
-        counted(&self.list) >= quorums.of_list && counted(&self.before) >= quorums.of_before
+        counted(&self.list) >= quorums.current && counted(&self.before) >= quorums.previous
     }
 
     /// Whether these members meet every write quorum that a kept record may be on:
     /// of the members before during a change, else of the list. Any record that
     /// is kept then stands on one of them.
-    pub fn meets_every_quorum(
+    pub fn intersects_every_quorum(
         &self,
         tolerance: &Tolerance,
         counts: impl Fn(&Member) -> bool,
     ) -> bool {
-        let list = match self.settled() {
+        let list = match self.is_settled() {
             true => &self.list,
             false => &self.before,
         };
@@ -184,9 +184,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Quorums {
     /// Of the list.
-    of_list: usize,
+    current: usize,
     /// Of the members before a change that is under way; else nought.
-    of_before: usize,
+    previous: usize,
 }
 
 fn contains(list: &[Member], node: &str) -> bool {
@@ -198,25 +198,25 @@
 /// few for that.
 pub fn write_quorum(list: &[Member], tolerance: &Tolerance) -> Option<usize> {
     let count = list.len();
-    let needed = majority(count).max(losses(list, tolerance) + 1);
+    let needed = majority(count).max(max_losses(list, tolerance) + 1);
     (needed <= count).then_some(needed)
 }
 
 /// Disks that may be lost at once, by the tolerance and by where the members
 /// stand.
-fn losses(list: &[Member], tolerance: &Tolerance) -> usize {
+fn max_losses(list: &[Member], tolerance: &Tolerance) -> usize {
     let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
     let mut regions: BTreeMap<&str, usize> = BTreeMap::new();
     for member in list {
         let zone = member.zone.as_str();
-        let region = tolerance.regions_of_zones.get(zone);
+        let region = tolerance.region_by_zone.get(zone);
         *zones.entry(zone).or_default() += 1;
         *regions
             .entry(region.map_or(zone, String::as_str))
             .or_default() += 1;
     }
-    let in_zones = largest(zones.into_values(), tolerance.zones);
-    let in_regions = largest(regions.into_values(), tolerance.regions);
+    let in_zones = largest_total(zones.into_values(), tolerance.zones);
+    let in_regions = largest_total(regions.into_values(), tolerance.regions);
     tolerance.machines.max(in_zones).max(in_regions)
 }
 
@@ -230,7 +230,7 @@
     /// Regions, with all their zones.
     pub regions: usize,
     /// Region of each zone.
-    pub regions_of_zones: BTreeMap<String, String>,
+    pub region_by_zone: BTreeMap<String, String>,
 }
 
 impl Tolerance {
@@ -244,7 +244,7 @@
 }
 
 /// Members in the `count` largest places.
-fn largest(sizes: impl Iterator<Item = usize>, count: usize) -> usize {
+fn largest_total(sizes: impl Iterator<Item = usize>, count: usize) -> usize {
     let mut sizes: Vec<usize> = sizes.collect();
     sizes.sort_unstable_by(|one, other| other.cmp(one));
     sizes.into_iter().take(count).sum()
--- a/crates/stageyoke-directory/src/mirror.rs
+++ b/crates/stageyoke-directory/src/mirror.rs
@@ -4,7 +4,7 @@
 //! asked for an answer as often as the directory's age limits demand.
 
 mod apply;
-mod told;
+mod relayed;
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -23,14 +23,14 @@
 
 /// How long one watch waits at the service: it spares calls, and nothing relies
 /// on its end.
-pub const WATCH_WAIT: Duration = Duration::from_secs(20);
+pub const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 /// While the service is unreachable every second try may take so many times as
 /// long as the others: a slow service answers these.
-const PATIENT_TRY: u32 = 2;
+const PATIENT_RETRY_FACTOR: u32 = 2;
 /// Parts of the bound on changes that gathering and confirmations may take.
-const GATHER_PART: f64 = 0.3;
-const CONFIRMED_PART: f64 = 0.25;
-const FIRST_BACKOFF: Duration = Duration::from_millis(100);
+const BATCH_DELAY_FRACTION: f64 = 0.3;
+const CONFIRMATION_TTL_FRACTION: f64 = 0.25;
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 
 /// What the mirror tells its owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -47,28 +47,28 @@
 
 /// How calls are spared: they come in groups, and each has its price.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pace {
+pub struct CallIntervals {
     /// After a change the next ones are gathered this long.
-    pub gather: Duration,
+    pub batch_delay: Duration,
     /// A linearizable read of the routes confirms them this long.
-    pub confirmed_for: Duration,
+    pub confirmation_ttl: Duration,
 }
 
-impl Default for Pace {
+impl Default for CallIntervals {
     fn default() -> Self {
         Self {
-            gather: Duration::from_millis(400),
-            confirmed_for: Duration::ZERO,
+            batch_delay: Duration::from_millis(400),
+            confirmation_ttl: Duration::ZERO,
         }
     }
 }
 
-impl Pace {
+impl CallIntervals {
     /// The pace where a change must be in force within `bound`.
-    pub fn within(bound: Duration) -> Self {
+    pub fn for_change_bound(bound: Duration) -> Self {
         Self {
-            gather: bound.mul_f64(GATHER_PART),
-            confirmed_for: bound.mul_f64(CONFIRMED_PART),
+            batch_delay: bound.mul_f64(BATCH_DELAY_FRACTION),
+            confirmation_ttl: bound.mul_f64(CONFIRMATION_TTL_FRACTION),
         }
     }
 }
@@ -82,7 +82,7 @@
     /// Revision of the newest change that it brought, if any.
     last_change: Option<u64>,
     /// Whether more changes may follow at once, and are gathered.
-    gather: bool,
+    may_batch: bool,
 }
 
 /// The view and the means to follow it; shared by the tasks of a process.
@@ -93,16 +93,16 @@
     pub interpreter: I,
     view: RefCell<Rc<View>>,
     items: Option<RefCell<BTreeMap<String, Item>>>,
-    changes: Cell<u64>,
+    change_count: Cell<u64>,
     last_contact: Cell<Option<Instant>>,
-    asked_at: Cell<Instant>,
-    back_until: Cell<Option<Instant>>,
-    read_lock: tokio::sync::Mutex<Option<Instant>>,
-    changed: Notify,
-    pace: Pace,
+    last_request_at: Cell<Instant>,
+    lapsed_entry_deadline: Cell<Option<Instant>>,
+    last_routes_read: tokio::sync::Mutex<Option<Instant>>,
+    view_changed: Notify,
+    intervals: CallIntervals,
     freshness: Rc<Freshness>,
     relay: Option<Rc<dyn DirectoryRelay>>,
-    recent: RefCell<RecentChanges>,
+    recent_changes: RefCell<RecentChanges>,
 }
 
 impl<S: KeyValueService, I: Interpreter> Mirror<S, I> {
@@ -113,22 +113,22 @@
             interpreter,
             view: RefCell::new(Rc::new(View::default())),
             items: None,
-            changes: Cell::new(0),
+            change_count: Cell::new(0),
             last_contact: Cell::new(None),
-            asked_at: Cell::new(Instant::now()),
-            back_until: Cell::new(None),
-            read_lock: tokio::sync::Mutex::new(None),
-            changed: Notify::new(),
-            pace: Pace::default(),
+            last_request_at: Cell::new(Instant::now()),
+            lapsed_entry_deadline: Cell::new(None),
+            last_routes_read: tokio::sync::Mutex::new(None),
+            view_changed: Notify::new(),
+            intervals: CallIntervals::default(),
             freshness: Rc::new(Freshness::new(AgeLimits::default(), true)),
             relay: None,
-            recent: RefCell::default(),
+            recent_changes: RefCell::default(),
         }
     }
 
     /// The same mirror, which asks other processes that follow the service, and
     /// the service itself only where they can't tell.
-    pub fn relayed(self, relay: Rc<dyn DirectoryRelay>) -> Self {
+    pub fn with_relay(self, relay: Rc<dyn DirectoryRelay>) -> Self {
         Self {
             relay: Some(relay),
             ..self
@@ -136,25 +136,28 @@
     }
 
     /// The same mirror where a change must be in force within `bound`.
-    pub fn bounded(self, bound: Duration) -> Self {
+    pub fn with_change_bound(self, bound: Duration) -> Self {
         let only_by_requests = self.items.is_none();
         Self {
-            pace: Pace::within(bound),
-            freshness: Rc::new(Freshness::new(AgeLimits::within(bound), only_by_requests)),
+            intervals: CallIntervals::for_change_bound(bound),
+            freshness: Rc::new(Freshness::new(
+                AgeLimits::for_change_bound(bound),
+                only_by_requests,
+            )),
             ..self
         }
     }
 
     /// The same mirror where entries are renewed by heartbeats with this pause; without
     /// it, only the bound tells how long an absence of the service must be to count.
-    pub fn with_heartbeat(self, heartbeat: Duration) -> Self {
-        self.freshness.set_heartbeat(heartbeat);
+    pub fn with_heartbeat_interval(self, heartbeat: Duration) -> Self {
+        self.freshness.set_heartbeat_interval(heartbeat);
         self
     }
 
     /// A mirror that also keeps the items themselves, to hand them on. Its
     /// directory is in use at all times.
-    pub fn keeping_items(service: S, interpreter: I) -> Self {
+    pub fn with_item_cache(service: S, interpreter: I) -> Self {
         Self {
             items: Some(RefCell::default()),
             freshness: Rc::new(Freshness::new(AgeLimits::default(), false)),
@@ -168,8 +171,8 @@
     }
 
     /// Rises with every change of the view.
-    pub fn changes(&self) -> u64 {
-        self.changes.get()
+    pub fn change_count(&self) -> u64 {
+        self.change_count.get()
     }
 
     /// All items of meaning, if they are kept.
@@ -197,8 +200,8 @@
     }
 
     /// Waits until the view has changed.
-    pub async fn changed(&self) {
-        self.changed.notified().await;
+    pub async fn wait_for_change(&self) {
+        self.view_changed.notified().await;
     }
 
     /// When the service last answered.
@@ -208,42 +211,43 @@
 
     /// Until when entries that the last answer showed to be missing may come back,
     /// since the service was away; `None` where they have ended.
-    pub fn entries_back_until(&self) -> Option<Instant> {
-        self.back_until.get()
+    pub fn lapsed_entry_deadline(&self) -> Option<Instant> {
+        self.lapsed_entry_deadline.get()
     }
 
     /// Reads the configuration linearizably, unless a read began after the
     /// call, or so shortly before that the bound on changes is kept.
     pub async fn confirm_routes(&self) -> Result<(), KeyValueError> {
-        self.routes_read_within(self.pace.confirmed_for).await?;
+        self.ensure_routes_read(self.intervals.confirmation_ttl)
+            .await?;
         Ok(())
     }
 
     /// The same for a read that began at most so long before the call; returns
     /// when it began.
-    async fn routes_read_within(&self, confirmed_for: Duration) -> Result<Instant, KeyValueError> {
+    async fn ensure_routes_read(&self, confirmed_for: Duration) -> Result<Instant, KeyValueError> {
         let asked = Instant::now();
-        let mut last_read = self.read_lock.lock().await;
+        let mut last_read = self.last_routes_read.lock().await;
         let recent = |started: &Instant| *started + confirmed_for >= asked;
         if let Some(started) = last_read.filter(recent) {
             return Ok(started);
         }
-        if let Some(started) = self.routes_told().await.filter(recent) {
+        if let Some(started) = self.apply_relayed_routes().await.filter(recent) {
             *last_read = Some(started);
             return Ok(started);
         }
         let started = Instant::now();
-        self.read_one(self.interpreter.routes_key()).await?;
+        self.read_item(self.interpreter.routes_key()).await?;
         *last_read = Some(started);
         Ok(started)
     }
 
     /// Reads the store groups linearizably.
     pub async fn confirm_stores(&self) -> Result<(), KeyValueError> {
-        self.read_one(self.interpreter.stores_key()).await
+        self.read_item(self.interpreter.stores_key()).await
     }
 
-    async fn read_one(&self, key: &str) -> Result<(), KeyValueError> {
+    async fn read_item(&self, key: &str) -> Result<(), KeyValueError> {
         let item = self.service.get(key).await?;
         if let Some(item) = item {
             self.apply_item(key, Some(item), 0, &mut Changed::default());
@@ -252,9 +256,9 @@
     }
 
     /// Seeds the view from a copy kept elsewhere, before the service answers.
-    pub fn seed(&self, stores: StoreGroups) {
+    pub fn seed_stores(&self, stores: StoreGroups) {
         let mut changed = Changed::default();
-        self.edit(
+        self.edit_view(
             |view, changed| view.apply(Update::Stores(stores), 0, changed),
             &mut changed,
         );
@@ -262,11 +266,11 @@
 
     /// Follows the service for ever.
     pub async fn run(&self, mut report: impl FnMut(MirrorEvent)) {
-        let mut backoff = FIRST_BACKOFF;
+        let mut backoff = INITIAL_BACKOFF;
         let mut after = None;
         let mut failures: u32 = 0;
         loop {
-            let outcome = self.step(after, failures, &mut report).await;
+            let outcome = self.follow_once(after, failures, &mut report).await;
             match outcome {
                 Ok(step) => {
                     self.last_contact.set(Some(Instant::now()));
@@ -275,16 +279,16 @@
                             .confirm(revision, step.last_change, step.as_of);
                     }
                     after = step.revision;
-                    backoff = FIRST_BACKOFF;
+                    backoff = INITIAL_BACKOFF;
                     if std::mem::take(&mut failures) > 0 {
                         report(MirrorEvent::Regained);
                     }
-                    if step.gather {
+                    if step.may_batch {
                         tokio::time::sleep(self.pause_after_change()).await;
                     }
                 }
                 Err(error) => {
-                    self.freshness.fail(self.asked_at.get());
+                    self.freshness.record_failure(self.last_request_at.get());
                     if failures == 0 {
                         report(MirrorEvent::Lost(error));
                     }
@@ -292,16 +296,16 @@
                     let jitter = rand::rng().random_range(0.5..1.0);
                     tokio::select! {
                         () = tokio::time::sleep(backoff.mul_f64(jitter)) => {}
-                        () = self.freshness.peers_back() => {}
+                        () = self.freshness.wait_for_peers() => {}
                     }
-                    backoff = (backoff * 2).min(self.freshness.limits().longest_backoff);
+                    backoff = (backoff * 2).min(self.freshness.limits().max_backoff);
                 }
             }
         }
     }
 
     /// One complete read, one watch, or one try to reach the service again.
-    async fn step(
+    async fn follow_once(
         &self,
         after: Option<u64>,
         failures: u32,
@@ -310,7 +314,7 @@
         let began = Instant::now();
         match after {
             None => {
-                if let Some(step) = self.read_told(report).await {
+                if let Some(step) = self.read_all_relayed(report).await {
                     return Ok(step);
                 }
                 let revision = self.read_all(report).await?;
@@ -319,24 +323,24 @@
                     as_of: began,
                     // What was removed before left no item that tells when.
                     last_change: Some(revision),
-                    gather: false,
+                    may_batch: false,
                 })
             }
             Some(revision) if failures == 0 => match &self.relay {
-                Some(_) => self.follow_told(revision, report).await,
+                Some(_) => self.follow_relay(revision, report).await,
                 None => self.follow(revision, report).await,
             },
             Some(revision) => {
-                if let Some(step) = self.take_told(revision, report).await {
+                if let Some(step) = self.apply_relayed_changes(revision, report).await {
                     return Ok(step);
                 }
-                let patience = 1 + (failures % PATIENT_TRY);
+                let patience = 1 + (failures % PATIENT_RETRY_FACTOR);
                 tokio::select! {
-                    outcome = self.ask(revision, patience) => {
-                        Ok(self.take_own(outcome?, began, report))
+                    outcome = self.poll_service(revision, patience) => {
+                        Ok(self.apply_service_answer(outcome?, began, report))
                     }
-                    () = self.freshness.peers_back() => {
-                        let told = self.take_told(revision, report).await;
+                    () = self.freshness.wait_for_peers() => {
+                        let told = self.apply_relayed_changes(revision, report).await;
                         told.ok_or(KeyValueError::NoAnswer)
                     }
                 }
@@ -354,16 +358,16 @@
     ) -> Result<Step, KeyValueError> {
         let prefix = self.interpreter.prefix();
         let mut revision = revision;
-        let mut watch = std::pin::pin!(self.service.watch(prefix, revision, WATCH_WAIT));
+        let mut watch = std::pin::pin!(self.service.watch(prefix, revision, WATCH_TIMEOUT));
         loop {
             tokio::select! {
-                outcome = &mut watch => return self.take_watched(outcome, report),
-                () = self.freshness.overdue() => {}
+                outcome = &mut watch => return self.apply_watch_outcome(outcome, report),
+                () = self.freshness.wait_until_overdue() => {}
             }
             let asked_at = Instant::now();
             let outcome = tokio::select! {
-                outcome = &mut watch => return self.take_watched(outcome, report),
-                outcome = self.ask(revision, 1) => outcome?,
+                outcome = &mut watch => return self.apply_watch_outcome(outcome, report),
+                outcome = self.poll_service(revision, 1) => outcome?,
             };
             match &outcome {
                 WatchOutcome::Changes {
@@ -374,39 +378,43 @@
                     self.last_contact.set(Some(Instant::now()));
                     self.freshness.confirm(revision, None, asked_at);
                 }
-                _ => return Ok(self.take_own(outcome, asked_at, report)),
+                _ => return Ok(self.apply_service_answer(outcome, asked_at, report)),
             }
         }
     }
 
     /// Takes the end of a watch that was pending; where it failed, it failed now.
-    fn take_watched(
+    fn apply_watch_outcome(
         &self,
         outcome: Result<WatchOutcome, KeyValueError>,
         report: &mut impl FnMut(MirrorEvent),
     ) -> Result<Step, KeyValueError> {
         let now = Instant::now();
-        self.asked_at.set(now);
-        Ok(self.take_own(outcome?, now, report))
+        self.last_request_at.set(now);
+        Ok(self.apply_service_answer(outcome?, now, report))
     }
 
     /// Applies an answer of the service itself.
-    fn take_own(
+    fn apply_service_answer(
         &self,
         outcome: WatchOutcome,
         as_of: Instant,
         report: &mut impl FnMut(MirrorEvent),
     ) -> Step {
-        let back_until = self.freshness.entries_back_until(as_of);
-        self.take(outcome, as_of, back_until, report)
+        let back_until = self.freshness.lapsed_entry_deadline(as_of);
+        self.apply_outcome(outcome, as_of, back_until, report)
     }
 
     /// Asks for what has changed since a revision, on another connection than a
     /// pending watch's. Fails once the time for an answer is over.
-    async fn ask(&self, revision: u64, patience: u32) -> Result<WatchOutcome, KeyValueError> {
+    async fn poll_service(
+        &self,
+        revision: u64,
+        patience: u32,
+    ) -> Result<WatchOutcome, KeyValueError> {
         let prefix = self.interpreter.prefix();
-        let within = self.freshness.limits().answer_within * patience;
-        self.asked_at.set(Instant::now());
+        let within = self.freshness.limits().answer_timeout * patience;
+        self.last_request_at.set(Instant::now());
         let asking = self.service.watch(prefix, revision, Duration::ZERO);
         tokio::time::timeout(within, asking)
             .await
@@ -415,20 +423,20 @@
 
     /// Applies an answer that was the newest state at `as_of`; entries that it shows
     /// to be gone may come back until then.
-    fn take(
+    fn apply_outcome(
         &self,
         outcome: WatchOutcome,
         as_of: Instant,
         back_until: Option<Instant>,
         report: &mut impl FnMut(MirrorEvent),
     ) -> Step {
-        self.back_until.set(back_until);
+        self.lapsed_entry_deadline.set(back_until);
         match outcome {
-            WatchOutcome::HistoryGone => Step {
+            WatchOutcome::HistoryCompacted => Step {
                 revision: None,
                 as_of,
                 last_change: None,
-                gather: false,
+                may_batch: false,
             },
             WatchOutcome::Changes { changes, revision } => {
                 let last_change = changes.iter().map(Change::revision).max();
@@ -437,7 +445,7 @@
                     revision: Some(revision),
                     as_of,
                     last_change,
-                    gather: last_change.is_some(),
+                    may_batch: last_change.is_some(),
                 }
             }
         }
@@ -452,9 +460,9 @@
                 .and_then(|page| page.items.last())
                 .map(|item| item.key.clone());
             let prefix = self.interpreter.prefix();
-            self.asked_at.set(Instant::now());
+            self.last_request_at.set(Instant::now());
             let reading = self.service.range(prefix, after.as_deref());
-            let within = self.freshness.limits().answer_within * PATIENT_TRY;
+            let within = self.freshness.limits().answer_timeout * PATIENT_RETRY_FACTOR;
             let page = tokio::time::timeout(within, reading)
                 .await
                 .map_err(|_| KeyValueError::NoAnswer)??;
@@ -466,8 +474,8 @@
         }
         // The pages form no snapshot: changes since the first are seen again.
         let revision = pages.first().map_or(0, |page| page.revision);
-        self.back_until
-            .set(self.freshness.entries_back_until(began));
+        self.lapsed_entry_deadline
+            .set(self.freshness.lapsed_entry_deadline(began));
         self.apply_pages(pages, report);
         Ok(revision)
     }
--- a/crates/stageyoke-directory/src/mirror/apply.rs
+++ b/crates/stageyoke-directory/src/mirror/apply.rs
@@ -26,7 +26,7 @@
                 None => drop(items.borrow_mut().remove(key)),
             }
         }
-        self.edit(
+        self.edit_view(
             |view, changed| view.apply(update.clone(), revision, changed),
             changed,
         );
@@ -36,7 +36,7 @@
     pub(super) fn apply_changes(&self, changes: Vec<Change>, report: &mut impl FnMut(MirrorEvent)) {
         let mut changed = Changed::default();
         for change in changes {
-            self.keep_recent(&change);
+            self.cache_recent_change(&change);
             let (key, item, revision) = match change {
                 Change::Written(item) => (item.key.clone(), Some(item), 0),
                 Change::Removed { key, revision } => (key, None, revision),
@@ -52,9 +52,9 @@
     }
 
     /// Keeps a change to hand it on, where items are kept.
-    pub(super) fn keep_recent(&self, change: &Change) {
+    pub(super) fn cache_recent_change(&self, change: &Change) {
         if self.items.is_some() {
-            self.recent.borrow_mut().push(change.clone());
+            self.recent_changes.borrow_mut().push(change.clone());
         }
     }
 
@@ -64,7 +64,7 @@
         let mut retirements = BTreeSet::new();
         let mut keys: BTreeSet<String> = BTreeSet::new();
         let revision = pages.first().map_or(0, |page| page.revision);
-        self.recent.borrow_mut().restart(revision);
+        self.recent_changes.borrow_mut().reset(revision);
         for item in pages.into_iter().flat_map(|page| page.items) {
             let key = item.key.clone();
             keys.insert(key.clone());
@@ -80,8 +80,8 @@
         if let Some(items) = &self.items {
             items.borrow_mut().retain(|key, _| keys.contains(key));
         }
-        self.edit(
-            |view, changed| view.retain_seen(&replicas, &retirements, changed),
+        self.edit_view(
+            |view, changed| view.retain_listed(&replicas, &retirements, changed),
             &mut changed,
         );
         if changed != Changed::default() {
@@ -89,13 +89,17 @@
         }
     }
 
-    pub(super) fn edit(&self, change: impl FnOnce(&mut View, &mut Changed), changed: &mut Changed) {
+    pub(super) fn edit_view(
+        &self,
+        change: impl FnOnce(&mut View, &mut Changed),
+        changed: &mut Changed,
+    ) {
         let mut slot = self.view.borrow_mut();
         change(Rc::make_mut(&mut slot), changed);
         drop(slot);
         if *changed != Changed::default() {
-            self.changes.set(self.changes.get() + 1);
-            self.changed.notify_waiters();
+            self.change_count.set(self.change_count.get() + 1);
+            self.view_changed.notify_waiters();
         }
     }
 }
--- a/crates/stageyoke-directory/src/model.rs
+++ b/crates/stageyoke-directory/src/model.rs
@@ -40,7 +40,7 @@
     /// The longest that a request is held.
     pub timeout: Duration,
     /// Latency objective, to the first byte of streams.
-    pub objective: Duration,
+    pub latency_objective: Duration,
     /// Rank; zero is the highest.
     pub priority: u8,
     /// Destinations; one or more.
@@ -48,20 +48,20 @@
     /// Largest number of replicas that one request may run on.
     pub max_attempts: u32,
     /// Whether the history of the route's turns is kept.
-    pub keeps_history: bool,
+    pub stores_history: bool,
     /// How long a turn is kept after its end.
     pub retention: Duration,
     /// Whether a broken stream may continue at another replica.
     pub resumable: bool,
     /// Whether requests need no key even where the configuration has tenants.
-    pub keyless: bool,
+    pub allows_anonymous: bool,
     /// Whether a replica serves an object faster that it has seen lately.
     pub affinity: bool,
 }
 
 impl Route {
     /// Whether a request may run more than once.
-    pub fn repeatable(&self) -> bool {
+    pub fn is_repeatable(&self) -> bool {
         match self.kind {
             RouteKind::Repeatable => true,
             RouteKind::Once => false,
@@ -94,7 +94,7 @@
 
 /// What a caller may send.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Limits {
+pub struct HttpLimits {
     /// Bytes of a request's head.
     pub header_bytes: usize,
     /// Bytes of a request's body.
@@ -115,7 +115,7 @@
     /// All services.
     pub services: Vec<ServiceSpec>,
     /// Limits towards callers.
-    pub limits: Limits,
+    pub limits: HttpLimits,
     /// Who may call; none where callers need no key.
     pub tenants: Option<Tenants>,
 }
@@ -154,16 +154,17 @@
 pub struct ReplicaStart {
     /// When it started, in Unix milliseconds by its own clock; none from a replica of
     /// an older version.
-    pub born: Option<u64>,
+    pub started_at_ms: Option<u64>,
     /// Orders that it has taken since.
-    pub orders: Option<u64>,
+    pub orders_received: Option<u64>,
 }
 
 impl ReplicaStart {
     /// Whether something said later is of the same start. The clock may have jumped
     /// either way in between; orders are counted anew from each start.
-    pub fn continues_in(self, later: Self) -> bool {
-        self.born == later.born && (self.orders.is_none() || self.orders <= later.orders)
+    pub fn is_continued_by(self, later: Self) -> bool {
+        self.started_at_ms == later.started_at_ms
+            && (self.orders_received.is_none() || self.orders_received <= later.orders_received)
     }
 }
 
@@ -187,12 +188,12 @@
 impl ReplicaRecord {
     /// Whether a later record is of the same incarnation: what was believed of this
     /// one holds for it.
-    pub fn continues_in(&self, later: &Self) -> bool {
+    pub fn is_continued_by(&self, later: &Self) -> bool {
         let same_place = self.service == later.service
             && self.address == later.address
             && self.zone == later.zone
             && self.slots == later.slots;
-        same_place && self.start.continues_in(later.start)
+        same_place && self.start.is_continued_by(later.start)
     }
 }
 
@@ -200,5 +201,5 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Retirement {
     /// Time within which it must be done.
-    pub within: Duration,
+    pub complete_within: Duration,
 }
--- a/crates/stageyoke-directory/src/tenants.rs
+++ b/crates/stageyoke-directory/src/tenants.rs
@@ -26,7 +26,7 @@
 
 /// How many requests a tenant may make through all fronts together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RequestLimit {
+pub struct RateLimit {
     /// Requests a second.
     pub per_second: f64,
     /// Requests beyond that at once.
@@ -41,16 +41,16 @@
     /// Rank of its requests in place of their route's; zero is the highest.
     pub priority: Option<u8>,
     /// Its limit; none where it may ask as often as it likes.
-    pub limit: Option<RequestLimit>,
+    pub rate_limit: Option<RateLimit>,
 }
 
 /// All tenants of a configuration, found by key.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tenants {
     list: Vec<Tenant>,
-    holders: HashMap<KeyDigest, usize>,
-    contested: Vec<Text>,
-    keyless: Vec<Text>,
+    index_by_key: HashMap<KeyDigest, usize>,
+    sharing_keys: Vec<Text>,
+    without_keys: Vec<Text>,
 }
 
 impl Tenants {
@@ -60,36 +60,39 @@
         let index = self.list.len();
         let mut keys = keys.into_iter().peekable();
         if keys.peek().is_none() {
-            self.keyless.push(tenant.name.clone());
+            self.without_keys.push(tenant.name.clone());
         }
         for key in keys {
-            let holder = *self.holders.entry(key).or_insert(index);
+            let holder = *self.index_by_key.entry(key).or_insert(index);
             if holder != index {
-                self.contested.push(tenant.name.clone());
+                self.sharing_keys.push(tenant.name.clone());
             }
         }
         self.list.push(tenant);
     }
 
     /// The tenant that holds this key.
-    pub fn holder(&self, key: &[u8]) -> Option<&Tenant> {
-        let index = self.holders.get(&KeyDigest::of(key))?;
+    pub fn find_by_key(&self, key: &[u8]) -> Option<&Tenant> {
+        let index = self.index_by_key.get(&KeyDigest::of(key))?;
         self.list.get(*index)
     }
 
     /// Tenants that name a key which another holds.
-    pub fn contested(&self) -> &[Text] {
-        &self.contested
+    pub fn sharing_keys(&self) -> &[Text] {
+        &self.sharing_keys
     }
 
     /// Tenants that name no key, and so can't call.
-    pub fn keyless(&self) -> &[Text] {
-        &self.keyless
+    pub fn without_keys(&self) -> &[Text] {
+        &self.without_keys
     }
 
     /// Tenants that may ask as often as they like.
     pub fn unlimited(&self) -> impl Iterator<Item = &Text> {
-        let unlimited = self.list.iter().filter(|tenant| tenant.limit.is_none());
+        let unlimited = self
+            .list
+            .iter()
+            .filter(|tenant| tenant.rate_limit.is_none());
         unlimited.map(|tenant| &tenant.name)
     }
 
--- a/crates/stageyoke-directory/src/view.rs
+++ b/crates/stageyoke-directory/src/view.rs
@@ -146,7 +146,7 @@
     }
 
     /// Drops replicas and retirements that a complete read did not show.
-    pub fn retain_seen(
+    pub fn retain_listed(
         &mut self,
         seen_replicas: &std::collections::BTreeSet<Text>,
         seen_retirements: &std::collections::BTreeSet<Text>,
--- a/crates/stageyoke-directory/tests/freshness_test.rs
+++ b/crates/stageyoke-directory/tests/freshness_test.rs
@@ -44,14 +44,14 @@
     fn front() -> Self {
         let service = Rc::new(Service::default());
         service.version.set(1);
-        let mirror = Mirror::new(Link(service.clone()), Words).bounded(BOUND);
+        let mirror = Mirror::new(Link(service.clone()), Words).with_change_bound(BOUND);
         Self::start(mirror, service)
     }
 
     fn store() -> Self {
         let service = Rc::new(Service::default());
         service.version.set(1);
-        let mirror = Mirror::keeping_items(Link(service.clone()), Words).bounded(BOUND);
+        let mirror = Mirror::with_item_cache(Link(service.clone()), Words).with_change_bound(BOUND);
         Self::start(mirror, service)
     }
 
@@ -64,7 +64,7 @@
     async fn use_for(&self, span: Duration) {
         let until = Instant::now() + span;
         while Instant::now() < until {
-            self.mirror.freshness().before_use().await;
+            self.mirror.freshness().ensure_fresh().await;
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -136,7 +136,7 @@
         tokio::time::sleep(Duration::from_secs(60)).await;
         assert_eq!(running.service.asked.get(), asked, "idle");
         assert_eq!(running.version(), 1);
-        running.mirror.freshness().before_use().await;
+        running.mirror.freshness().ensure_fresh().await;
         assert_eq!(running.version(), 2);
     })
     .await;
@@ -152,9 +152,9 @@
         running.service.silent.set(true);
         tokio::time::sleep(Duration::from_secs(30)).await;
         let limits = running.mirror.freshness().limits();
-        for most in [limits.answer_within, Duration::ZERO] {
+        for most in [limits.answer_timeout, Duration::ZERO] {
             let began = Instant::now();
-            running.mirror.freshness().before_use().await;
+            running.mirror.freshness().ensure_fresh().await;
             assert!(began.elapsed() <= most + Duration::from_millis(2));
             tokio::time::sleep(Duration::from_millis(700)).await;
         }
@@ -203,7 +203,10 @@
         };
         for _ in 0..10 {
             running.use_for(Duration::from_millis(500)).await;
-            running.mirror.freshness().hear(mark, Instant::now());
+            running
+                .mirror
+                .freshness()
+                .apply_peer_mark(mark, Instant::now());
         }
         assert_eq!(running.service.asked.get() == asked, spared);
     })
--- a/crates/stageyoke-directory/tests/groups_test.rs
+++ b/crates/stageyoke-directory/tests/groups_test.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use rstest::rstest;
-use stageyoke_directory::groups::{group_in_need, group_size};
+use stageyoke_directory::groups::{group_size, select_group_for_spare};
 use stageyoke_directory::{GroupNumber, Member, MemberState, StoreGroups, Tolerance};
 use stageyoke_types::Text;
 
@@ -107,7 +107,7 @@
     let formed = form(&registered(12, 6), &tolerance(2, 0)).expect("groups");
     let first = GroupNumber(0);
     let members = formed.group(first).expect("group");
-    let changed = formed.with_group(first, members.with(store(99, 6)));
+    let changed = formed.with_group(first, members.with_member(store(99, 6)));
     assert_eq!(changed.version, formed.version + 1);
     assert_eq!(changed.group(GroupNumber(1)), formed.group(GroupNumber(1)));
     assert_eq!(changed.group_of_node("store-99"), Some(first));
@@ -119,7 +119,7 @@
     let members: Vec<Member> = formed.members().cloned().collect();
     let size = group_size(&tolerance(2, 0), &members).expect("size");
     let in_need = |lost: &[&str], node: &str| {
-        group_in_need(&formed, size, node, |member| {
+        select_group_for_spare(&formed, size, node, |member| {
             !lost.contains(&member.node.as_str())
         })
     };
@@ -140,7 +140,7 @@
         "spares spread over groups that lack as many"
     );
     let single = form(&registered(4, 4), &tolerance(1, 0)).expect("one group");
-    let always = group_in_need(&single, 3, "spare", |_| true);
+    let always = select_group_for_spare(&single, 3, "spare", |_| true);
     assert_eq!(always, Some(GroupNumber(0)), "one group takes every store");
 }
 
--- a/crates/stageyoke-directory/tests/members_test.rs
+++ b/crates/stageyoke-directory/tests/members_test.rs
@@ -9,7 +9,7 @@
 fn members(count: usize) -> Members {
     let mut list = Members::default();
     for number in 0..count {
-        list = list.with(Member {
+        list = list.with_member(Member {
             node: Text::from(format!("store-{number}")),
             address: Text::from(format!("10.0.0.{number}:7000")),
             zone: Text::from("zone"),
@@ -55,7 +55,8 @@
     let Some(quorums) = list.quorums(tolerance) else {
         return Vec::new();
     };
-    let reached = |set: &BTreeSet<Text>| list.reach(quorums, |member| set.contains(&member.node));
+    let reached =
+        |set: &BTreeSet<Text>| list.has_quorum(quorums, |member| set.contains(&member.node));
     sets(list).filter(reached).collect()
 }
 
@@ -65,7 +66,7 @@
     let list = members(before);
     let mut next: Vec<Member> = list.list.iter().take(before - removed).cloned().collect();
     next.extend(members(before + added).list.iter().skip(before).cloned());
-    list.changing_to(List(next))
+    list.start_change(List(next))
 }
 
 /// Every change of up to four members into up to four others, with the tolerance.
@@ -89,7 +90,12 @@
             ..Members::default()
         };
         let change = write_quorums(&during, &tolerance);
-        let neighbours = [before, during.settle(), during.give_up(), during.clone()];
+        let neighbours = [
+            before,
+            during.settle_change(),
+            during.abandon_change(),
+            during.clone(),
+        ];
         for neighbour in neighbours {
             for one in &change {
                 for other in write_quorums(&neighbour, &tolerance) {
@@ -107,7 +113,7 @@
     let tolerance = Tolerance::of_machines(1);
     let during = changing(3, 1, 1);
     let old = write_quorums(&members(3), &tolerance);
-    let new = write_quorums(&during.settle(), &tolerance);
+    let new = write_quorums(&during.settle_change(), &tolerance);
     let disjoint = old
         .iter()
         .any(|old| new.iter().any(|new| old.is_disjoint(new)));
@@ -127,7 +133,7 @@
         let old_quorums = write_quorums(&before, &tolerance);
         for fence in sets(&during) {
             let fences =
-                during.meets_every_quorum(&tolerance, |member| fence.contains(&member.node));
+                during.intersects_every_quorum(&tolerance, |member| fence.contains(&member.node));
             if !fences {
                 continue;
             }
@@ -152,12 +158,12 @@
             if list.write_quorum(&tolerance).is_none() {
                 continue;
             }
-            let during = list.changing_to(list.list.clone());
+            let during = list.start_change(list.list.clone());
             let lost = |member: &Member| {
                 let place = list.list.iter().position(|one| one == member);
                 place.is_some_and(|place| place < losses)
             };
-            let fenced = during.meets_every_quorum(&tolerance, |member| !lost(member));
+            let fenced = during.intersects_every_quorum(&tolerance, |member| !lost(member));
             assert!(fenced, "count {count} losses {losses}");
         }
     }
@@ -170,18 +176,18 @@
         address: Text::from("10.0.0.9:7000"),
         ..list.list[1].clone()
     };
-    let next = list.with(moved.clone());
+    let next = list.with_member(moved.clone());
     assert_eq!(next.version, list.version + 1);
     assert_eq!(next.list[1], moved);
     assert_eq!(next.list_without("store-0").len(), 2);
-    let during = next.changing_to(next.list_without("store-0"));
+    let during = next.start_change(next.list_without("store-0"));
     assert_eq!(during.version, list.version + 2);
     assert_eq!(during.before, next.list);
-    assert!(during.get("store-0").is_some() && !during.stays("store-0"));
+    assert!(during.get("store-0").is_some() && !during.remains_member("store-0"));
     assert_eq!(during.all().count(), 3);
-    let settled = during.settle();
+    let settled = during.settle_change();
     assert_eq!(settled.version, list.version + 3);
-    assert!(settled.settled() && settled.get("store-0").is_none());
+    assert!(settled.is_settled() && settled.get("store-0").is_none());
 }
 
 /// A change under way gets another aim without losing sight of the members before,
@@ -189,14 +195,14 @@
 #[test]
 fn a_change_keeps_the_members_before_until_it_is_settled() {
     let during = changing(3, 1, 1);
-    let again = during.changing_to(during.list_without("store-3"));
+    let again = during.start_change(during.list_without("store-3"));
     assert_eq!(again.before, members(3).list);
-    assert_eq!(again.give_up().list, members(3).list);
+    assert_eq!(again.abandon_change().list, members(3).list);
     let moved = Member {
         address: Text::from("10.0.0.9:7000"),
         ..during.list[0].clone()
     };
-    let told = during.with(moved.clone());
+    let told = during.with_member(moved.clone());
     assert_eq!((&told.list[0], &told.before[0]), (&moved, &moved));
 }
 
@@ -205,7 +211,7 @@
 fn losing_the_largest_places_leaves_a_copy() {
     let mut list = Members::default();
     for (number, zone) in ["a", "a", "b", "b", "c"].iter().enumerate() {
-        list = list.with(Member {
+        list = list.with_member(Member {
             node: Text::from(format!("store-{number}")),
             address: Text::from("10.0.0.1:7000"),
             zone: Text::from(*zone),
@@ -218,7 +224,7 @@
         machines,
         zones,
         regions: regions_lost,
-        regions_of_zones: regions
+        region_by_zone: regions
             .iter()
             .map(|(zone, region)| ((*zone).to_owned(), (*region).to_owned()))
             .collect(),
--- a/crates/stageyoke-directory/tests/mirror_test.rs
+++ b/crates/stageyoke-directory/tests/mirror_test.rs
@@ -142,7 +142,7 @@
     script
         .watches
         .borrow_mut()
-        .push_back(Ok(WatchOutcome::HistoryGone));
+        .push_back(Ok(WatchOutcome::HistoryCompacted));
     let _ = tokio::time::timeout(Duration::from_secs(1), mirror.run(|_| {})).await;
     let ids: Vec<String> = mirror.view().replicas.keys().map(Text::to_string).collect();
     assert_eq!(ids, ["b"]);
@@ -211,7 +211,7 @@
     let script = Rc::new(Script::default());
     script.put("routes/all", "3");
     let mirror = Mirror::new(Service(script.clone()), Words);
-    let mirror = mirror.bounded(Duration::from_secs(2));
+    let mirror = mirror.with_change_bound(Duration::from_secs(2));
     for (pause, version, reads) in [(0, 3, 1), (400, 3, 1), (200, 4, 2)] {
         tokio::time::advance(Duration::from_millis(pause)).await;
         mirror.confirm_routes().await.expect("confirmed");
--- a/crates/stageyoke-directory/tests/relay_test.rs
+++ b/crates/stageyoke-directory/tests/relay_test.rs
@@ -14,8 +14,8 @@
 use service::{Link, Service};
 use stageyoke_directory::relay::RecentChanges;
 use stageyoke_directory::{
-    Acceptable, Change, DirectoryRelay, DirectorySource, Item, Mirror, Relayed, Telling,
-    ToldChanges, ToldItems, ToldRoutes,
+    Change, DirectoryRelay, DirectorySource, Item, Mirror, RelayFuture, RelayReply,
+    RelayRequirements, RelayedChanges, RelayedItems, RelayedRoutes,
 };
 use support::Words;
 use tokio::time::Instant;
@@ -37,7 +37,7 @@
         &self,
         within: Duration,
         told: impl FnOnce(&TestMirror) -> Option<T>,
-    ) -> Option<Relayed<T>> {
+    ) -> Option<RelayReply<T>> {
         let sent = Instant::now();
         if self.silent.get() {
             tokio::time::sleep(within).await;
@@ -46,34 +46,46 @@
         tokio::time::sleep(WAY).await;
         let told = told(&self.store)?;
         tokio::time::sleep(WAY).await;
-        Some(Relayed { told, sent })
+        Some(RelayReply {
+            payload: told,
+            sent_at: sent,
+        })
     }
 }
 
 impl DirectoryRelay for Way {
-    fn knows_any(&self) -> bool {
+    fn has_sources(&self) -> bool {
         true
     }
 
-    fn changes(&self, after: u64, acceptable: Acceptable) -> Telling<'_, ToldChanges> {
-        Box::pin(self.answer(acceptable.within, move |store| store.tell_changes(after)))
+    fn fetch_changes(
+        &self,
+        after: u64,
+        acceptable: RelayRequirements,
+    ) -> RelayFuture<'_, RelayedChanges> {
+        Box::pin(self.answer(acceptable.answer_timeout, move |store| {
+            store.relay_changes(after)
+        }))
     }
 
-    fn routes(&self, within: Duration) -> Telling<'_, ToldRoutes> {
+    fn fetch_routes(&self, within: Duration) -> RelayFuture<'_, RelayedRoutes> {
         Box::pin(async move {
             let sent = Instant::now();
             if self.silent.get() {
                 tokio::time::sleep(within).await;
                 return None;
             }
-            let reading = self.store.tell_routes();
+            let reading = self.store.relay_routes();
             let told = tokio::time::timeout(within, reading).await.ok()??;
-            Some(Relayed { told, sent })
+            Some(RelayReply {
+                payload: told,
+                sent_at: sent,
+            })
         })
     }
 
-    fn items(&self, acceptable: Acceptable) -> Telling<'_, ToldItems> {
-        Box::pin(self.answer(acceptable.within, |store| store.tell_items()))
+    fn fetch_items(&self, acceptable: RelayRequirements) -> RelayFuture<'_, RelayedItems> {
+        Box::pin(self.answer(acceptable.answer_timeout, |store| store.relay_items()))
     }
 }
 
@@ -94,15 +106,16 @@
 impl Pair {
     async fn start() -> Self {
         let (front_service, store_service) = (service(), service());
-        let store = Mirror::keeping_items(Link(store_service.clone()), Words).bounded(BOUND);
+        let store =
+            Mirror::with_item_cache(Link(store_service.clone()), Words).with_change_bound(BOUND);
         let store = Rc::new(store);
         let following = store.clone();
         tokio::task::spawn_local(async move { following.run(|_| {}).await });
         tokio::time::sleep(Duration::from_millis(100)).await;
         let way_silent = Rc::new(Cell::new(false));
         let silent = way_silent.clone();
-        let front = Mirror::new(Link(front_service.clone()), Words).bounded(BOUND);
-        let front = Rc::new(front.relayed(Rc::new(Way { store, silent })));
+        let front = Mirror::new(Link(front_service.clone()), Words).with_change_bound(BOUND);
+        let front = Rc::new(front.with_relay(Rc::new(Way { store, silent })));
         let following = front.clone();
         tokio::task::spawn_local(async move { following.run(|_| {}).await });
         Self {
@@ -123,7 +136,7 @@
         let until = Instant::now() + span;
         let freshness = self.front.freshness();
         while Instant::now() < until {
-            freshness.before_use().await;
+            freshness.ensure_fresh().await;
             let age = freshness.age().unwrap_or_default();
             assert!(age <= BOUND.mul_f64(0.9), "{age:?}");
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -234,13 +247,19 @@
 #[test]
 fn recent_changes_stay_within_their_bytes() {
     let mut recent = RecentChanges::default();
-    recent.restart(3);
-    assert!(recent.after(2).is_none());
+    recent.reset(3);
+    assert!(recent.changes_after(2).is_none());
     for revision in 4..60 {
         recent.push(change(revision));
         assert!(recent.bytes() <= 1024 * 1024);
     }
-    assert!(recent.after(10).is_none());
-    assert_eq!(recent.after(55).map(|changes| changes.len()), Some(4));
-    assert_eq!(recent.after(59).map(|changes| changes.len()), Some(0));
+    assert!(recent.changes_after(10).is_none());
+    assert_eq!(
+        recent.changes_after(55).map(|changes| changes.len()),
+        Some(4)
+    );
+    assert_eq!(
+        recent.changes_after(59).map(|changes| changes.len()),
+        Some(0)
+    );
 }
--- a/crates/stageyoke-directory/tests/support/mod.rs
+++ b/crates/stageyoke-directory/tests/support/mod.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use stageyoke_directory::{
-    Interpreter, Limits, Member, ReplicaRecord, ReplicaStart, ReplicaState, RouteTable, Update,
+    HttpLimits, Interpreter, Member, ReplicaRecord, ReplicaStart, ReplicaState, RouteTable, Update,
     Write,
 };
 use stageyoke_types::Text;
@@ -66,7 +66,7 @@
         version,
         routes: Vec::new(),
         services: Vec::new(),
-        limits: Limits {
+        limits: HttpLimits {
             header_bytes: 1,
             body_bytes: 1,
             header_timeout: Duration::ZERO,
--- a/crates/stageyoke-front/src/access.rs
+++ b/crates/stageyoke-front/src/access.rs
@@ -88,8 +88,8 @@
             return Ok(Self::default());
         };
         let key = key(headers);
-        let holder = key.and_then(|key| tenants.holder(key));
-        if holder.is_none() && !route.keyless {
+        let holder = key.and_then(|key| tenants.find_by_key(key));
+        if holder.is_none() && !route.allows_anonymous {
             return Err(match key {
                 Some(_) => Locked::UnknownKey,
                 None => Locked::NoKey,
--- a/crates/stageyoke-front/src/front.rs
+++ b/crates/stageyoke-front/src/front.rs
@@ -165,7 +165,7 @@
             told.retain(|number| {
                 let fails = failing.iter().any(|group| group.number() == *number);
                 if !fails {
-                    self.mirror.freshness().note_peers_back();
+                    self.mirror.freshness().report_peers_reachable();
                     let detail = format!("store group {}", number.0);
                     observe::event(Event::DependencyRegained, &detail);
                 }
@@ -179,7 +179,7 @@
         let view = self.mirror.view();
         self.fleet.set_groups(view.stores.groups.len());
         self.fleet
-            .follow(&view.replicas, self.mirror.entries_back_until());
+            .follow(&view.replicas, self.mirror.lapsed_entry_deadline());
         let metrics = stageyoke_observe::metrics();
         metrics.replicas.set(view.replicas.len() as i64);
         metrics.members_version.set(view.stores.version as i64);
@@ -213,7 +213,7 @@
         stores.load().engines.tell_others();
     }
     let relay = StoreRelay::new(stores.clone(), settings.seeds.clone());
-    let mirror = Rc::new(mirror.relayed(Rc::new(relay)));
+    let mirror = Rc::new(mirror.with_relay(Rc::new(relay)));
     let front = Rc::new(Front {
         names,
         zone: settings.zone.clone(),
--- a/crates/stageyoke-front/src/handler.rs
+++ b/crates/stageyoke-front/src/handler.rs
@@ -119,12 +119,12 @@
             .map_or(Duration::ZERO, |finish| finish.left());
         story.finish = finish.as_millis() as u64;
         let freshness = self.mirror.freshness();
-        freshness.before_use().await;
+        freshness.ensure_fresh().await;
         let age = freshness.age().unwrap_or(Duration::MAX);
         story.directory_age = age.as_millis().min(u128::from(u32::MAX)) as u64;
         let ages = &observe::metrics().directory_age_seconds;
         ages.observe(age.as_secs_f64());
-        self.list_age.note(age, freshness.unreachable());
+        self.list_age.note(age, freshness.is_service_unreachable());
         story.members_version = self.history.stores.stores().version;
         let Admitted {
             routes,
@@ -134,7 +134,7 @@
         story.route = route.name.to_string();
         if let Some(tenant) = &access.tenant {
             story.tenant = tenant.name.to_string();
-            story.limit = tenant.limit.map_or_else(String::new, |limit| {
+            story.limit = tenant.rate_limit.map_or_else(String::new, |limit| {
                 format!("{}+{}", limit.per_second, limit.burst)
             });
             if !self.key_trust.holds(age) {
@@ -171,7 +171,7 @@
             headers,
             body: input.clone(),
             deadline,
-            repeatable: route.repeatable(),
+            repeatable: route.is_repeatable(),
             ranked: service.engine.as_ref().map(|_| Ranked {
                 service: service_number(&service.name),
                 rank: access.order(&route),
@@ -304,7 +304,7 @@
         let engine = call.service.engine.as_ref();
         let keeping = Keeping {
             history: self.history.clone(),
-            input: call.route.keeps_history.then(|| call.input.clone()),
+            input: call.route.stores_history.then(|| call.input.clone()),
             retention: call.route.retention,
             reservation,
             tokens_per_event: engine.map_or(0, |engine| engine.tokens_per_event),
--- a/crates/stageyoke-front/src/list_report.rs
+++ b/crates/stageyoke-front/src/list_report.rs
@@ -71,7 +71,10 @@
 }
 
 fn incarnation(record: &ReplicaRecord) -> String {
-    let ReplicaStart { born, orders } = record.start;
+    let ReplicaStart {
+        started_at_ms: born,
+        orders_received: orders,
+    } = record.start;
     let number = |number: Option<u64>| number.map_or_else(|| "none".to_owned(), |n| n.to_string());
     let (born, orders) = (number(born), number(orders));
     format!("address={} born={born} orders={orders}", record.address)
--- a/crates/stageyoke-front/src/offer.rs
+++ b/crates/stageyoke-front/src/offer.rs
@@ -44,7 +44,7 @@
         mut told: Option<Placement>,
     ) -> Result<Served, Failure> {
         let mut excluded: Vec<Text> = Vec::new();
-        let most_runs = match call.route.repeatable() {
+        let most_runs = match call.route.is_repeatable() {
             true => call.route.max_attempts.max(1),
             false => 1,
         };
@@ -131,7 +131,7 @@
             let cause = refusals.cause();
             return Err(Failure::come_back(ErrorKind::Overloaded, cause, SOON));
         }
-        match call.route.repeatable() {
+        match call.route.is_repeatable() {
             true => Err(Failure::last(ErrorKind::BackEndFailed, "replicas_failed")),
             false => Err(Failure::last(ErrorKind::OutcomeUnknown, "outcome_unknown")),
         }
@@ -154,7 +154,7 @@
     ) -> Result<Outcome, Late> {
         let deadline = call.outbound.deadline;
         let mut sending = std::pin::pin!(sending);
-        if call.route.repeatable() && call.service.engine.is_none() {
+        if call.route.is_repeatable() && call.service.engine.is_none() {
             let now = Instant::now();
             let left = deadline.saturating_duration_since(now);
             let patience = self.usual_times.patience(&call.route.name);
@@ -185,7 +185,7 @@
             excluded,
             prompt: &call.figures.prompt,
             group: self.history.stores.group_number(&call.kept.program),
-            repeatable: call.route.repeatable(),
+            repeatable: call.route.is_repeatable(),
         }
     }
 
--- a/crates/stageyoke-front/src/quota.rs
+++ b/crates/stageyoke-front/src/quota.rs
@@ -85,7 +85,7 @@
     /// Counts a request, or refuses it: it was not run then. Tells the grant, where an
     /// owner has given one.
     pub async fn admit(&self, asked: Asked<'_>) -> Result<Option<Grant>, Failure> {
-        let Some(limit) = asked.tenant.limit else {
+        let Some(limit) = asked.tenant.rate_limit else {
             return Ok(None);
         };
         let limit = Limit {
--- a/crates/stageyoke-front/src/replica.rs
+++ b/crates/stageyoke-front/src/replica.rs
@@ -89,7 +89,7 @@
     /// It is listed so. False where that is another incarnation, of which nothing is
     /// known: it shares no more than the identifier.
     pub fn continues_in(&self, listed: &ReplicaRecord) -> bool {
-        if !self.record.continues_in(listed) || !self.start.get().continues_in(listed.start) {
+        if !self.record.is_continued_by(listed) || !self.start.get().is_continued_by(listed.start) {
             return false;
         }
         self.start.set(listed.start);
@@ -289,6 +289,6 @@
 /// A number that is the same on all fronts, and another one for each incarnation: what
 /// fronts and stores tell one another of one is not believed of the next.
 fn incarnation_hash(id: &str, record: &ReplicaRecord) -> u64 {
-    let born = record.start.born.unwrap_or_default();
+    let born = record.start.started_at_ms.unwrap_or_default();
     mix(hash_text(id) ^ mix(hash_text(&record.address) ^ born))
 }
--- a/crates/stageyoke-front/src/server.rs
+++ b/crates/stageyoke-front/src/server.rs
@@ -8,7 +8,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use stageyoke_directory::{Interpreter, KeyValueService, Limits};
+use stageyoke_directory::{HttpLimits, Interpreter, KeyValueService};
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::body::FrontBody;
@@ -70,7 +70,7 @@
     let _ = connection.await;
 }
 
-fn apply_limits(builder: &mut hyper::server::conn::http1::Builder, limits: &Limits) {
+fn apply_limits(builder: &mut hyper::server::conn::http1::Builder, limits: &HttpLimits) {
     // hyper's time for a head also runs while a kept connection rests.
     builder.header_read_timeout(limits.idle_timeout + IDLE_MARGIN);
     builder.max_buf_size(limits.header_bytes.max(SMALLEST_BUFFER));
--- a/crates/stageyoke-front/src/tenant_report.rs
+++ b/crates/stageyoke-front/src/tenant_report.rs
@@ -26,7 +26,7 @@
             self.unusual.take();
             return Vec::new();
         };
-        let contested = match tenants.contested() {
+        let contested = match tenants.sharing_keys() {
             [] => String::new(),
             contested => named("", contested),
         };
@@ -46,7 +46,7 @@
 
 /// Tenants that can't call or are not limited; empty if there are none.
 fn unusual(tenants: &Tenants) -> String {
-    let keyless = tenants.keyless();
+    let keyless = tenants.without_keys();
     let unlimited: Vec<Text> = tenants.unlimited().cloned().collect();
     if keyless.is_empty() && unlimited.is_empty() {
         return String::new();
--- a/crates/stageyoke-front/src/turns.rs
+++ b/crates/stageyoke-front/src/turns.rs
@@ -28,7 +28,7 @@
         let Some(previous) = &call.kept.previous else {
             return Ok(None);
         };
-        if !call.route.keeps_history {
+        if !call.route.stores_history {
             return Ok(None);
         }
         let left = call
--- a/crates/stageyoke-front/tests/access_test.rs
+++ b/crates/stageyoke-front/tests/access_test.rs
@@ -28,7 +28,7 @@
         let tenant = name.map(|name| Tenant {
             name: Text::from(name),
             priority: None,
-            limit: None,
+            rate_limit: None,
         });
         KeptIdentifiers::of(&figures, tenant.as_ref())
     };
@@ -52,7 +52,7 @@
     let tenant = Tenant {
         name: Text::from("ann"),
         priority: None,
-        limit: None,
+        rate_limit: None,
     };
     let kept = KeptIdentifiers::of(&figures, Some(&tenant));
     assert!(kept.program.is_empty() && kept.previous.is_none());
@@ -80,7 +80,7 @@
     Tenant {
         name: Text::from("ann"),
         priority,
-        limit: None,
+        rate_limit: None,
     }
 }
 
@@ -91,14 +91,14 @@
         path_prefix: Text::from("/"),
         kind: RouteKind::Stream,
         timeout: Duration::ZERO,
-        objective: Duration::ZERO,
+        latency_objective: Duration::ZERO,
         priority,
         targets: Vec::new(),
         max_attempts: 1,
-        keeps_history: false,
+        stores_history: false,
         retention: Duration::ZERO,
         resumable: false,
-        keyless: false,
+        allows_anonymous: false,
         affinity: false,
     }
 }
--- a/crates/stageyoke-front/tests/front_test.rs
+++ b/crates/stageyoke-front/tests/front_test.rs
@@ -10,9 +10,9 @@
 use bytes::Bytes;
 use rstest::rstest;
 use stageyoke_directory::{
-    Change, EngineShape, Interpreter, Item, KeyDigest, KeyValueError, KeyValueService, Limits,
-    Member, MemberState, Members, Mirror, RangePage, ReplicaRecord, ReplicaStart, ReplicaState,
-    RequestLimit, Route, RouteKind, RouteTable, ServiceSpec, StoreGroups, Target, Tenant, Tenants,
+    Change, EngineShape, HttpLimits, Interpreter, Item, KeyDigest, KeyValueError, KeyValueService,
+    Member, MemberState, Members, Mirror, RangePage, RateLimit, ReplicaRecord, ReplicaStart,
+    ReplicaState, Route, RouteKind, RouteTable, ServiceSpec, StoreGroups, Target, Tenant, Tenants,
     Transaction, TransactionOutcome, Update, WatchOutcome, Write,
 };
 use stageyoke_front::beginnings::{BegunPrograms, service_number};
@@ -122,7 +122,7 @@
 }
 
 fn one_store(address: &str) -> StoreGroups {
-    StoreGroups::single(Members::default().with(Member {
+    StoreGroups::single(Members::default().with_member(Member {
         node: Text::from("store"),
         address: Text::from(address),
         zone: Text::from("zone"),
@@ -318,14 +318,14 @@
     for pair in keys.split_whitespace().filter(|word| *word != ENGINES) {
         let (key, holder) = pair.split_once('=').expect("key and tenant");
         let (name, limit) = holder.split_once('/').unwrap_or((holder, ""));
-        let limit = limit.parse().ok().map(|per_second| RequestLimit {
+        let limit = limit.parse().ok().map(|per_second| RateLimit {
             per_second,
             burst: per_second,
         });
         let tenant = Tenant {
             name: Text::from(name),
             priority: None,
-            limit,
+            rate_limit: limit,
         };
         tenants.add(tenant, [KeyDigest::of(key.as_bytes())]);
     }
@@ -335,17 +335,17 @@
         path_prefix: Text::from(format!("/{name}/")),
         kind,
         timeout: Duration::from_millis(1500),
-        objective: Duration::from_millis(100),
+        latency_objective: Duration::from_millis(100),
         priority: 1,
         targets: vec![Target {
             service: Text::from("service"),
             weight: 1,
         }],
         max_attempts: 3,
-        keeps_history: false,
+        stores_history: false,
         retention: Duration::ZERO,
         resumable: false,
-        keyless: name == "open",
+        allows_anonymous: name == "open",
         affinity: false,
     };
     RouteTable {
@@ -361,7 +361,7 @@
             max_connections: 10,
             engine,
         }],
-        limits: Limits {
+        limits: HttpLimits {
             header_bytes: 16_384,
             body_bytes: 1_000,
             header_timeout: Duration::from_secs(3),
--- a/crates/stageyoke-front/tests/left_replica_test.rs
+++ b/crates/stageyoke-front/tests/left_replica_test.rs
@@ -208,7 +208,7 @@
             replicas: replicas.iter().map(|replica| replica.address).collect(),
             ..Service::default()
         });
-        let mirror = Mirror::new(Link(service.clone()), Words).bounded(CHANGE_BOUND);
+        let mirror = Mirror::new(Link(service.clone()), Words).with_change_bound(CHANGE_BOUND);
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let listeners = FrontListeners::open(any, any).await.expect("listeners");
         let front = listeners.callers.local_addr().expect("address");
--- a/crates/stageyoke-front/tests/list_end/service.rs
+++ b/crates/stageyoke-front/tests/list_end/service.rs
@@ -114,7 +114,7 @@
         loop {
             self.pass().await;
             if after < self.service.forgotten.get() {
-                return Ok(WatchOutcome::HistoryGone);
+                return Ok(WatchOutcome::HistoryCompacted);
             }
             let changes = self.service.changes_after(after);
             if !changes.is_empty() || tokio::time::Instant::now() >= until {
--- a/crates/stageyoke-front/tests/list_end/world.rs
+++ b/crates/stageyoke-front/tests/list_end/world.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use stageyoke_directory::{
-    Acceptable, DirectoryRelay, DirectorySource, Freshness, Mirror, Relayed, Telling, ToldChanges,
-    ToldItems, ToldRoutes,
+    DirectoryRelay, DirectorySource, Freshness, Mirror, RelayFuture, RelayReply, RelayRequirements,
+    RelayedChanges, RelayedItems, RelayedRoutes,
 };
 use stageyoke_front::fleet::{Fleet, Wanted};
 use stageyoke_front::placement::Candidate;
@@ -59,11 +59,11 @@
 impl Ways {
     async fn ask<T>(
         &self,
-        acceptable: Acceptable,
+        acceptable: RelayRequirements,
         told: impl Fn(&Follower) -> Option<T>,
         age: impl Fn(&T) -> Duration,
-    ) -> Option<Relayed<T>> {
-        let share = acceptable.within / self.stores.len() as u32;
+    ) -> Option<RelayReply<T>> {
+        let share = acceptable.answer_timeout / self.stores.len() as u32;
         for store in &self.stores {
             let sent = Instant::now();
             let lost = self.cut.get();
@@ -73,10 +73,13 @@
                 continue;
             }
             if let Some(answered_at) = store.freshness().confirmed_at() {
-                self.freshness.hear_peer(answered_at);
+                self.freshness.apply_peer_contact(answered_at);
             }
-            if let Some(told) = told(store).filter(|told| age(told) < acceptable.oldest) {
-                return Some(Relayed { told, sent });
+            if let Some(told) = told(store).filter(|told| age(told) < acceptable.max_age) {
+                return Some(RelayReply {
+                    payload: told,
+                    sent_at: sent,
+                });
             }
         }
         None
@@ -84,21 +87,25 @@
 }
 
 impl DirectoryRelay for Ways {
-    fn knows_any(&self) -> bool {
+    fn has_sources(&self) -> bool {
         !self.stores.is_empty()
     }
 
-    fn changes(&self, after: u64, acceptable: Acceptable) -> Telling<'_, ToldChanges> {
-        let told = move |store: &Follower| store.tell_changes(after);
+    fn fetch_changes(
+        &self,
+        after: u64,
+        acceptable: RelayRequirements,
+    ) -> RelayFuture<'_, RelayedChanges> {
+        let told = move |store: &Follower| store.relay_changes(after);
         Box::pin(self.ask(acceptable, told, |told| told.age))
     }
 
-    fn routes(&self, _: Duration) -> Telling<'_, ToldRoutes> {
+    fn fetch_routes(&self, _: Duration) -> RelayFuture<'_, RelayedRoutes> {
         Box::pin(async { None })
     }
 
-    fn items(&self, acceptable: Acceptable) -> Telling<'_, ToldItems> {
-        let told = |store: &Follower| store.tell_items();
+    fn fetch_items(&self, acceptable: RelayRequirements) -> RelayFuture<'_, RelayedItems> {
+        let told = |store: &Follower| store.relay_items();
         Box::pin(self.ask(acceptable, told, |told| told.age))
     }
 }
@@ -119,20 +126,20 @@
             service: service.clone(),
             cut: cut.clone(),
         };
-        let mirror = Mirror::new(link, Words).bounded(times.bound);
-        let mirror = mirror.with_heartbeat(times.heartbeat);
+        let mirror = Mirror::new(link, Words).with_change_bound(times.bound);
+        let mirror = mirror.with_heartbeat_interval(times.heartbeat);
         let ways = Ways {
             stores: stores.clone(),
             cut: cut.clone(),
             freshness: mirror.freshness().clone(),
         };
-        let mirror = Rc::new(mirror.relayed(Rc::new(ways)));
+        let mirror = Rc::new(mirror.with_relay(Rc::new(ways)));
         let fleet = Rc::new(Fleet::new(Rc::new(LoadBoard::new(1))));
         let (following, followed) = (fleet.clone(), mirror.clone());
         tokio::task::spawn_local(async move {
             let report = |_| {
                 let view = followed.view();
-                following.follow(&view.replicas, followed.entries_back_until());
+                following.follow(&view.replicas, followed.lapsed_entry_deadline());
             };
             followed.run(report).await;
         });
@@ -147,13 +154,15 @@
     /// A request acts on the list, as far as the list's age lets it. What stores
     /// answer to it tells how far their copies go.
     pub async fn act(&self) {
-        self.mirror.freshness().before_use().await;
+        self.mirror.freshness().ensure_fresh().await;
         if self.cut.get() {
             return;
         }
         for store in &self.stores {
             let mark = store.freshness().mark();
-            self.mirror.freshness().hear(mark, Instant::now() - WAY);
+            self.mirror
+                .freshness()
+                .apply_peer_mark(mark, Instant::now() - WAY);
         }
     }
 
@@ -212,8 +221,8 @@
                 service: service.clone(),
                 cut: cut.clone(),
             };
-            let store = Mirror::keeping_items(link, Words).bounded(times.bound);
-            let store = Rc::new(store.with_heartbeat(times.heartbeat));
+            let store = Mirror::with_item_cache(link, Words).with_change_bound(times.bound);
+            let store = Rc::new(store.with_heartbeat_interval(times.heartbeat));
             let following = store.clone();
             tokio::task::spawn_local(async move { following.run(|_| {}).await });
             stores.push(store);
@@ -255,7 +264,9 @@
                 .filter(|(other, _)| *other != number)
             {
                 let mark = other.freshness().mark();
-                store.freshness().hear(mark, Instant::now() - WAY);
+                store
+                    .freshness()
+                    .apply_peer_mark(mark, Instant::now() - WAY);
             }
         }
     }
--- a/crates/stageyoke-front/tests/list_end_test.rs
+++ b/crates/stageyoke-front/tests/list_end_test.rs
@@ -21,7 +21,7 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use stageyoke_directory::absence::BACK_WITHIN;
+use stageyoke_directory::outage::LAPSED_ENTRY_GRACE;
 use tokio::time::Instant;
 use virtual_time::in_virtual_time;
 use world::{Front, TIGHT, Times, WIDE, World, address_of, key_of};
@@ -134,7 +134,7 @@
     /// gets nothing more.
     fn dropped_within(&self) -> Duration {
         let learns_within = self.times.bound.mul_f64(LEARNS_PART);
-        learns_within.max(BACK_WITHIN) + LOOK * 2
+        learns_within.max(LAPSED_ENTRY_GRACE) + LOOK * 2
     }
 
     fn check(&self, number: usize) {
@@ -253,7 +253,7 @@
 /// exchange failed last.
 #[test]
 fn an_absence_of_the_service_leaves_no_front_without_replicas() {
-    let used_for = BACK_WITHIN - FAILS_WITHIN - LOOK;
+    let used_for = LAPSED_ENTRY_GRACE - FAILS_WITHIN - LOOK;
     for milliseconds in [2_200, 3_000, 4_500, 6_000, 9_000] {
         in_virtual_time(async move {
             let play = Play::start(TIGHT, vec![Step::Away { milliseconds }]).await;
--- a/crates/stageyoke-front/tests/pure_test.rs
+++ b/crates/stageyoke-front/tests/pure_test.rs
@@ -150,14 +150,14 @@
         path_prefix: Text::from("/"),
         kind: RouteKind::Repeatable,
         timeout: std::time::Duration::ZERO,
-        objective: std::time::Duration::ZERO,
+        latency_objective: std::time::Duration::ZERO,
         priority: 0,
         targets: targets.iter().map(target).collect(),
         max_attempts: 1,
-        keeps_history: false,
+        stores_history: false,
         retention: std::time::Duration::ZERO,
         resumable: false,
-        keyless: false,
+        allows_anonymous: false,
         affinity: false,
     }
 }
--- a/crates/stageyoke-front/tests/support/list.rs
+++ b/crates/stageyoke-front/tests/support/list.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use stageyoke_directory::{
-    Interpreter, Limits, Member, ReplicaRecord, ReplicaStart, ReplicaState, Route, RouteKind,
+    HttpLimits, Interpreter, Member, ReplicaRecord, ReplicaStart, ReplicaState, Route, RouteKind,
     RouteTable, ServiceSpec, Target, Update, Write,
 };
 use stageyoke_types::Text;
@@ -35,17 +35,17 @@
             path_prefix: Text::from("/safe/"),
             kind: RouteKind::Repeatable,
             timeout: Duration::from_millis(1500),
-            objective: Duration::from_millis(100),
+            latency_objective: Duration::from_millis(100),
             priority: 1,
             targets: vec![Target {
                 service: Text::from(SERVICE),
                 weight: 1,
             }],
             max_attempts: 3,
-            keeps_history: false,
+            stores_history: false,
             retention: Duration::ZERO,
             resumable: false,
-            keyless: false,
+            allows_anonymous: false,
             affinity: false,
         }],
         services: vec![ServiceSpec {
@@ -53,7 +53,7 @@
             max_connections: 10,
             engine: None,
         }],
-        limits: Limits {
+        limits: HttpLimits {
             header_bytes: 16_384,
             body_bytes: 1_000,
             header_timeout: Duration::from_secs(3),
--- a/crates/stageyoke-front/tests/tenant_report_test.rs
+++ b/crates/stageyoke-front/tests/tenant_report_test.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use stageyoke_directory::{KeyDigest, Limits, RequestLimit, RouteTable, Tenant, Tenants};
+use stageyoke_directory::{HttpLimits, KeyDigest, RateLimit, RouteTable, Tenant, Tenants};
 use stageyoke_front::tenant_report::TenantReport;
 use stageyoke_types::{Event, Text};
 
@@ -10,14 +10,14 @@
 fn table(version: u64, listed: &[(&str, &[&str], u32)]) -> RouteTable {
     let mut tenants = Tenants::default();
     for (name, keys, per_second) in listed {
-        let limit = (*per_second > 0).then(|| RequestLimit {
+        let limit = (*per_second > 0).then(|| RateLimit {
             per_second: f64::from(*per_second),
             burst: 0.0,
         });
         let tenant = Tenant {
             name: Text::from(*name),
             priority: None,
-            limit,
+            rate_limit: limit,
         };
         let digests = keys.iter().map(|key| KeyDigest::of(key.as_bytes()));
         tenants.add(tenant, digests);
@@ -26,7 +26,7 @@
         version,
         routes: Vec::new(),
         services: Vec::new(),
-        limits: Limits {
+        limits: HttpLimits {
             header_bytes: 1,
             body_bytes: 1,
             header_timeout: Duration::ZERO,
--- a/crates/stageyoke-store/src/completeness.rs
+++ b/crates/stageyoke-store/src/completeness.rs
@@ -26,7 +26,9 @@
         match self {
             Self::Incomplete => false,
             Self::Of(complete) => complete == group,
-            Self::SinceFormation => !stores.formed() || stores.group_of_node(node) == Some(group),
+            Self::SinceFormation => {
+                !stores.is_formed() || stores.group_of_node(node) == Some(group)
+            }
         }
     }
 
--- a/crates/stageyoke-store/src/group.rs
+++ b/crates/stageyoke-store/src/group.rs
@@ -193,7 +193,7 @@
         let mut present = BTreeSet::new();
         while let Some(node) = inbox.recv().await {
             present.insert(node);
-            if members.reach(quorums, |member| present.contains(&member.node)) {
+            if members.has_quorum(quorums, |member| present.contains(&member.node)) {
                 self.judge(true);
                 return;
             }
@@ -278,7 +278,7 @@
             return;
         };
         if let Some(own) = &self.shared.directory {
-            own.hear(*directory, sent);
+            own.apply_peer_mark(*directory, sent);
         }
         if reads_ledger {
             self.shared.load.hear(self.number, std::mem::take(others));
--- a/crates/stageyoke-store/src/keeper.rs
+++ b/crates/stageyoke-store/src/keeper.rs
@@ -249,7 +249,7 @@
     /// Another store told how fresh its directory is, in answer to a message
     /// that was sent at `sent`.
     pub fn hear_directory(&self, mark: DirectoryMark, sent: Instant) {
-        self.directory.hear(mark, sent);
+        self.directory.apply_peer_mark(mark, sent);
     }
 
     /// The directory that this store tells others of.
--- a/crates/stageyoke-store/src/keeper/answers.rs
+++ b/crates/stageyoke-store/src/keeper/answers.rs
@@ -344,7 +344,7 @@
         let source = self.source.borrow();
         let told = source
             .as_ref()
-            .and_then(|source| source.tell_changes(after));
+            .and_then(|source| source.relay_changes(after));
         told.map_or(Reply::DirectoryUnknown, relay::changes_reply)
     }
 
@@ -354,7 +354,7 @@
             return Reply::DirectoryUnknown;
         };
         // A front asks the service itself where this takes longer.
-        let telling = tokio::time::timeout(TELL_ROUTES_WITHIN, source.tell_routes()).await;
+        let telling = tokio::time::timeout(TELL_ROUTES_WITHIN, source.relay_routes()).await;
         let told = telling.ok().flatten();
         told.map_or(Reply::DirectoryUnknown, relay::routes_reply)
     }
@@ -362,7 +362,7 @@
     /// The members of the groups, or who has registered while there are none.
     fn known_stores(&self) -> List<Text> {
         let stores = self.stores();
-        if stores.formed() {
+        if stores.is_formed() {
             let members = stores.members();
             return members.map(|member| member.address.clone()).collect();
         }
@@ -371,7 +371,7 @@
 
     fn tell_directory(&self) -> Reply {
         let source = self.source.borrow();
-        let told = source.as_ref().and_then(|source| source.tell_items());
+        let told = source.as_ref().and_then(|source| source.relay_items());
         told.map_or(Reply::DirectoryUnknown, relay::directory_reply)
     }
 }
--- a/crates/stageyoke-store/src/membership.rs
+++ b/crates/stageyoke-store/src/membership.rs
@@ -92,7 +92,7 @@
 /// members held, complete, when they went by the current list already, that every
 /// quorum before is met.
 pub fn fenced(members: &Members, tolerance: &Tolerance, in_step: impl Fn(&Member) -> bool) -> bool {
-    members.meets_every_quorum(tolerance, in_step)
+    members.intersects_every_quorum(tolerance, in_step)
 }
 
 /// Whether so many members have been caught up with that no kept record can
@@ -102,7 +102,7 @@
     tolerance: &Tolerance,
     caught_up_with: impl Fn(&str) -> bool,
 ) -> bool {
-    members.meets_every_quorum(tolerance, |member| caught_up_with(&member.node))
+    members.intersects_every_quorum(tolerance, |member| caught_up_with(&member.node))
 }
 
 /// What this store knows of a peer.
@@ -151,9 +151,9 @@
     match members.get(&oneself.entry.node) {
         None => view.join(),
         Some(current) if *current != oneself.entry => {
-            Step::Change(members.with(oneself.entry.clone()))
+            Step::Change(members.with_member(oneself.entry.clone()))
         }
-        Some(_) if members.settled() => view.begin(),
+        Some(_) if members.is_settled() => view.begin(),
         Some(_) => view.conclude(),
     }
 }
@@ -179,7 +179,7 @@
         }
         let entry = oneself.entry.clone();
         if nothing_kept_yet(members, self.tolerance) {
-            return Step::Change(members.with(entry));
+            return Step::Change(members.with_member(entry));
         }
         if !oneself.caught_up {
             return Step::Rest(Waiting::CatchUp);
@@ -189,7 +189,7 @@
             return self.change_if_it_keeps(list);
         }
         // While a change is under way a new one waits, unless it replaces somebody.
-        if !members.settled() {
+        if !members.is_settled() {
             return Step::Rest(Waiting::Settling);
         }
         if !oneself.room {
@@ -213,7 +213,7 @@
     /// anything.
     fn change_if_it_keeps(&self, list: List<Member>) -> Step {
         match write_quorum(&list, self.tolerance) {
-            Some(_) => Step::Change(self.members.changing_to(list)),
+            Some(_) => Step::Change(self.members.start_change(list)),
             None => Step::Rest(Waiting::Room),
         }
     }
@@ -239,7 +239,7 @@
         let list = removable.map(|silent| self.members.list_without(&silent));
         match list.filter(|list| self.serves(list, REMOVE_AFTER)) {
             Some(_) if !self.acts_first() => Step::Rest(Waiting::FirstMember),
-            Some(list) => Step::Change(self.members.changing_to(list)),
+            Some(list) => Step::Change(self.members.start_change(list)),
             None => Step::Rest(Waiting::Successor),
         }
     }
@@ -253,7 +253,7 @@
     fn leave(&self) -> Step {
         let list = self.members.list_without(&self.oneself.entry.node);
         match self.serves(&list, self.oneself.replace_after) {
-            true => Step::BeginLeaving(self.members.changing_to(list)),
+            true => Step::BeginLeaving(self.members.start_change(list)),
             false => Step::Rest(Waiting::OthersToServe),
         }
     }
@@ -266,11 +266,11 @@
             return Step::Rest(Waiting::FirstMember);
         }
         let Some(missing) = self.missing_to_settle() else {
-            return Step::Change(members.settle());
+            return Step::Change(members.settle_change());
         };
         let within = oneself.replace_after;
         if !self.serves(&members.list, within) && self.serves(&members.before, within) {
-            return Step::Change(members.give_up());
+            return Step::Change(members.abandon_change());
         }
         Step::Rest(missing)
     }
--- a/crates/stageyoke-store/src/owners.rs
+++ b/crates/stageyoke-store/src/owners.rs
@@ -102,7 +102,7 @@
 
     /// Follows the members of the store groups.
     pub fn follow(&self, stores: &StoreGroups) {
-        let regions = &self.tolerance.regions_of_zones;
+        let regions = &self.tolerance.region_by_zone;
         let ranked = stores.members().map(|member| Ranked {
             node: member.node.clone(),
             hash: TurnKey::of(&member.node).0,
--- a/crates/stageyoke-store/src/quorum.rs
+++ b/crates/stageyoke-store/src/quorum.rs
@@ -117,7 +117,7 @@
     /// Whether a write quorum has kept it.
     pub fn kept(&self) -> bool {
         self.members
-            .reach(self.quorums, |member| self.keeping.contains(&member.node))
+            .has_quorum(self.quorums, |member| self.keeping.contains(&member.node))
     }
 
     /// Newer store groups that came with a refusal.
@@ -204,7 +204,7 @@
 
     fn absent(&self) -> bool {
         self.members
-            .reach(self.quorums, |member| self.missing.contains(&member.node))
+            .has_quorum(self.quorums, |member| self.missing.contains(&member.node))
     }
 
     /// What is known now.
--- a/crates/stageyoke-store/src/relay.rs
+++ b/crates/stageyoke-store/src/relay.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use stageyoke_directory::{
-    Acceptable, Change, DirectoryRelay, Item, Relayed, Telling, ToldChanges, ToldItems, ToldRoutes,
+    Change, DirectoryRelay, Item, RelayFuture, RelayReply, RelayRequirements, RelayedChanges,
+    RelayedItems, RelayedRoutes,
 };
 use stageyoke_types::{Blob, List, Text};
 use tokio::time::Instant;
@@ -21,8 +22,8 @@
 const LEARN_PART: u32 = 4;
 
 /// A store's answer to a question for changes.
-pub fn changes_reply(told: ToldChanges) -> Reply {
-    let mark = mark(told.revision, told.age, told.back_within);
+pub fn changes_reply(told: RelayedChanges) -> Reply {
+    let mark = mark(told.revision, told.age, told.lapsed_entry_grace);
     let known = told.changes.is_some();
     let changes = told.changes.unwrap_or_default();
     Reply::Changes {
@@ -33,7 +34,7 @@
 }
 
 /// A store's answer to a question for the configuration.
-pub fn routes_reply(told: ToldRoutes) -> Reply {
+pub fn routes_reply(told: RelayedRoutes) -> Reply {
     Reply::Routes {
         item: seen_item(told.item),
         age_milliseconds: rounded_up(told.age),
@@ -41,8 +42,8 @@
 }
 
 /// A store's answer to a question for everything.
-pub fn directory_reply(told: ToldItems) -> Reply {
-    let mark = mark(told.revision, told.age, told.back_within);
+pub fn directory_reply(told: RelayedItems) -> Reply {
+    let mark = mark(told.revision, told.age, told.lapsed_entry_grace);
     Reply::Directory {
         items: told.items.into_iter().map(seen_item).collect(),
         mark,
@@ -151,14 +152,14 @@
         };
         let answered_at = sent.checked_sub(age(mark));
         if let (Some(directory), Some(answered_at)) = (self.groups.directory(), answered_at) {
-            directory.hear_peer(answered_at);
+            directory.apply_peer_contact(answered_at);
         }
     }
 
     /// Asks a store that the settings name which others there are.
     async fn learn_stores(&self, within: Duration) {
         let count = self.seeds.len();
-        if count == 0 || self.groups.stores().formed() {
+        if count == 0 || self.groups.stores().is_formed() {
             return;
         }
         let client = StoreClient::new(&self.seeds[rand::random_range(0..count)]);
@@ -194,12 +195,19 @@
     /// Asks stores until one has a copy that is young enough. One that has not
     /// is asked no more before others: the service may have turned it away while
     /// it serves them.
-    async fn ask(&self, request: Request, acceptable: Acceptable) -> Option<Relayed<Reply>> {
-        let Acceptable { within, oldest } = acceptable;
+    async fn ask(
+        &self,
+        request: Request,
+        acceptable: RelayRequirements,
+    ) -> Option<RelayReply<Reply>> {
+        let RelayRequirements {
+            answer_timeout: within,
+            max_age: oldest,
+        } = acceptable;
         let deadline = Instant::now() + within;
         self.learn_stores(within / LEARN_PART).await;
         let candidates = self.candidates();
-        let formed = self.groups.stores().formed();
+        let formed = self.groups.stores().is_formed();
         let left = deadline.saturating_duration_since(Instant::now());
         let share = left / u32::try_from(candidates.len().max(1)).unwrap_or(1);
         for client in candidates {
@@ -210,7 +218,10 @@
             match answer {
                 Ok(reply) if copy_age(&reply).is_some_and(|age| age < oldest) => {
                     *self.preferred.borrow_mut() = formed.then_some(client);
-                    return Some(Relayed { told: reply, sent });
+                    return Some(RelayReply {
+                        payload: reply,
+                        sent_at: sent,
+                    });
                 }
                 Ok(_) | Err(_) => *self.preferred.borrow_mut() = None,
             }
@@ -231,75 +242,88 @@
 }
 
 impl DirectoryRelay for StoreRelay {
-    fn knows_any(&self) -> bool {
-        !self.seeds.is_empty() || self.groups.stores().formed()
+    fn has_sources(&self) -> bool {
+        !self.seeds.is_empty() || self.groups.stores().is_formed()
     }
 
-    fn changes(&self, after: u64, acceptable: Acceptable) -> Telling<'_, ToldChanges> {
+    fn fetch_changes(
+        &self,
+        after: u64,
+        acceptable: RelayRequirements,
+    ) -> RelayFuture<'_, RelayedChanges> {
         Box::pin(async move {
             let relayed = self.ask(Request::Changes { after }, acceptable).await?;
             let Reply::Changes {
                 known,
                 changes: List(changes),
                 mark,
-            } = relayed.told
+            } = relayed.payload
             else {
                 return None;
             };
             let changes = changes.into_iter().map(told_change).collect();
-            let told = ToldChanges {
+            let told = RelayedChanges {
                 changes: known.then_some(changes),
                 revision: mark.revision,
                 age: age(mark),
-                back_within: back_within(mark),
+                lapsed_entry_grace: back_within(mark),
             };
-            let sent = relayed.sent;
-            Some(Relayed { told, sent })
+            let sent = relayed.sent_at;
+            Some(RelayReply {
+                payload: told,
+                sent_at: sent,
+            })
         })
     }
 
-    fn routes(&self, within: Duration) -> Telling<'_, ToldRoutes> {
+    fn fetch_routes(&self, within: Duration) -> RelayFuture<'_, RelayedRoutes> {
         Box::pin(async move {
             // Whoever tells the configuration has read it for this question.
-            let acceptable = Acceptable {
-                within,
-                oldest: Duration::MAX,
+            let acceptable = RelayRequirements {
+                answer_timeout: within,
+                max_age: Duration::MAX,
             };
             let relayed = self.ask(Request::Routes, acceptable).await?;
             let Reply::Routes {
                 item,
                 age_milliseconds,
-            } = relayed.told
+            } = relayed.payload
             else {
                 return None;
             };
-            let told = ToldRoutes {
+            let told = RelayedRoutes {
                 item: told_item(item),
                 age: Duration::from_millis(u64::from(age_milliseconds)),
             };
-            let sent = relayed.sent;
-            Some(Relayed { told, sent })
+            let sent = relayed.sent_at;
+            Some(RelayReply {
+                payload: told,
+                sent_at: sent,
+            })
         })
     }
 
-    fn items(&self, acceptable: Acceptable) -> Telling<'_, ToldItems> {
+    fn fetch_items(&self, acceptable: RelayRequirements) -> RelayFuture<'_, RelayedItems> {
         Box::pin(async move {
             let relayed = self.ask(Request::Directory, acceptable).await?;
             let Reply::Directory {
                 items: List(items),
                 mark,
-            } = relayed.told
+            } = relayed.payload
             else {
                 return None;
             };
-            let told = ToldItems {
+            let told = RelayedItems {
                 items: items.into_iter().map(told_item).collect(),
                 revision: mark.revision,
                 age: age(mark),
-                back_within: back_within(mark),
+                lapsed_entry_grace: back_within(mark),
             };
-            let sent = relayed.sent;
-            Some(Relayed { told, sent })
+            let sent = relayed.sent_at;
+            Some(RelayReply {
+                payload: told,
+                sent_at: sent,
+            })
         })
     }
 }
--- a/crates/stageyoke-store/src/role.rs
+++ b/crates/stageyoke-store/src/role.rs
@@ -163,7 +163,7 @@
         tokio::task::spawn_local(async move { collector.collect(results).await });
         keeper.set_items(kept_items, false);
         keeper.telling(mirror.clone());
-        mirror.seed((*keeper.stores()).clone());
+        mirror.seed_stores((*keeper.stores()).clone());
         let host = Rc::new(Self {
             settings,
             mirror,
@@ -199,7 +199,7 @@
     fn follow(&self) {
         let view = self.mirror.view();
         self.keeper.set_stores(view.stores.clone());
-        if !view.stores.formed() {
+        if !view.stores.is_formed() {
             self.formation.borrow_mut().follow(&view.registered);
             let registered = view.registered.values();
             let addresses = registered.map(|store| store.address.clone());
@@ -211,14 +211,14 @@
         self.tell_silence(&members);
         let mut first = members.list.iter().take(ASKING_FIRST);
         let asks_first = first.any(|member| member.node == self.settings.node);
-        self.mirror.freshness().set_asks_first(asks_first);
+        self.mirror.freshness().set_early_refresh(asks_first);
         self.keep_items();
     }
 
     /// The store groups, if this store is a member of none.
     fn spare_among(&self) -> Option<Rc<StoreGroups>> {
         let stores = self.keeper.stores();
-        let spare = stores.formed() && stores.group_of_node(&self.settings.node).is_none();
+        let spare = stores.is_formed() && stores.group_of_node(&self.settings.node).is_none();
         spare.then_some(stores)
     }
 
@@ -271,7 +271,7 @@
         }
         let view = self.mirror.view();
         let now = KeptItems {
-            changes: self.mirror.changes(),
+            changes: self.mirror.change_count(),
             routes: view.routes.as_ref().map_or(0, |routes| routes.version),
             stores: view.stores.version,
             at: Some(Instant::now()),
@@ -302,7 +302,7 @@
             };
             tokio::select! {
                 () = tokio::time::sleep(pause) => {}
-                () = self.mirror.changed() => {}
+                () = self.mirror.wait_for_change() => {}
                 () = self.keeper.newer_list_heard() => self.read_newer_list().await,
             }
         }
@@ -318,7 +318,7 @@
         let read = tokio::time::timeout(READ_LIST_WITHIN, reading).await;
         match (read, heard) {
             (Ok(Ok(())), _) => {}
-            (_, Some(heard)) => self.mirror.seed(heard),
+            (_, Some(heard)) => self.mirror.seed_stores(heard),
             // The mirror tells of the service's silence; who asks next tries again.
             (_, None) => tokio::time::sleep(RETRY_PAUSE).await,
         }
@@ -329,8 +329,8 @@
     fn settled(&self) -> bool {
         let stores = self.keeper.stores();
         let member = stores.group_of_node(&self.settings.node).is_some();
-        let settled_member = member && self.keeper.complete() && self.keeper.members().settled();
-        let idle_spare = stores.formed() && !member && self.keeper.group().is_none();
+        let settled_member = member && self.keeper.complete() && self.keeper.members().is_settled();
+        let idle_spare = stores.is_formed() && !member && self.keeper.group().is_none();
         (settled_member || idle_spare) && !self.retiring()
     }
 
@@ -345,13 +345,13 @@
         // Without an answer of the service the groups may have changed.
         self.mirror.last_contact()?;
         let stores = self.keeper.stores();
-        if !stores.formed() {
+        if !stores.is_formed() {
             return self.before_formation(&stores);
         }
         let member = stores.group_of_node(&self.settings.node).is_some();
         if !member && self.retiring() {
             // What a spare holds, the group that it was a member of holds too.
-            return Some(Proposal::retirement(stores.next(), true));
+            return Some(Proposal::retirement(stores.next_version(), true));
         }
         let group = self.keeper.group()?;
         let change = |members| stores.with_group(group, members);
@@ -393,7 +393,7 @@
             };
             return Some(Proposal::Registration(leaving));
         }
-        Some(Proposal::retirement(stores.next(), true))
+        Some(Proposal::retirement(stores.next_version(), true))
     }
 
     /// This store, as an active member.
--- a/crates/stageyoke-store/src/role/report.rs
+++ b/crates/stageyoke-store/src/role/report.rs
@@ -7,7 +7,7 @@
 /// The groups' members in one line; those before a change that is under way behind.
 pub(super) fn describe(stores: &StoreGroups) -> String {
     let groups = stores.groups.iter().map(|members| {
-        let before = match members.settled() {
+        let before = match members.is_settled() {
             true => String::new(),
             false => format!("<{}", names(&members.before)),
         };
--- a/crates/stageyoke-store/src/spare.rs
+++ b/crates/stageyoke-store/src/spare.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stageyoke_directory::groups::group_in_need;
+use stageyoke_directory::groups::select_group_for_spare;
 use stageyoke_directory::{GroupNumber, Member, StoreGroups};
 use stageyoke_types::Text;
 use tokio::time::Instant;
@@ -59,7 +59,7 @@
         if stores.groups.len() > 1 && !self.has_asked() {
             return None;
         }
-        group_in_need(stores, size, node, |member| self.lives(member))
+        select_group_for_spare(stores, size, node, |member| self.lives(member))
     }
 
     fn lives(&self, member: &Member) -> bool {
--- a/crates/stageyoke-store/src/standing.rs
+++ b/crates/stageyoke-store/src/standing.rs
@@ -154,7 +154,7 @@
     /// kept.
     pub fn refusal(&self, group: GroupNumber, members_version: u64) -> Option<Reply> {
         let own = self.entry_in(group);
-        let elsewhere = own.is_none() && self.stores.formed();
+        let elsewhere = own.is_none() && self.stores.is_formed();
         if elsewhere || self.stale(group, members_version) {
             return Some(Reply::StaleMembers((*self.stores).clone()));
         }
--- a/crates/stageyoke-store/src/sync.rs
+++ b/crates/stageyoke-store/src/sync.rs
@@ -167,7 +167,7 @@
     fn in_haste(&self) -> bool {
         let members = self.keeper.members();
         let is_member = members.get(&self.keeper.node).is_some();
-        !is_member || !self.keeper.complete() || !members.settled()
+        !is_member || !self.keeper.complete() || !members.is_settled()
     }
 
     /// One page; whether there is more at once.
--- a/crates/stageyoke-store/tests/bounds_test.rs
+++ b/crates/stageyoke-store/tests/bounds_test.rs
@@ -56,7 +56,7 @@
     let node = Text::from(NODE);
     let (keeper, results) = Keeper::open(node, folder, recovered, limits).expect("threads");
     let keeper = Rc::new(keeper);
-    let members = Members::default().with(Member {
+    let members = Members::default().with_member(Member {
         node: Text::from(NODE),
         address: Text::from("127.0.0.1:1"),
         zone: Text::from("zone"),
@@ -330,8 +330,8 @@
         assert_eq!(keeper.held_by("gone"), held);
         let members = keeper.members();
         let changed = members
-            .changing_to(members.list_without("another"))
-            .settle();
+            .start_change(members.list_without("another"))
+            .settle_change();
         keeper.set_stores(Rc::new(StoreGroups::single(changed)));
         assert_eq!(keeper.held_by("gone"), JournalPosition::default());
     })
--- a/crates/stageyoke-store/tests/formation_test.rs
+++ b/crates/stageyoke-store/tests/formation_test.rs
@@ -111,7 +111,7 @@
             let (stores, registered) = service.heard(now);
             formation.follow(&registered);
             host.busy_until = now + TICK;
-            if stores.formed() {
+            if stores.is_formed() {
                 continue;
             }
             match formation.next(&stores, &member(number), &tolerance) {
@@ -128,7 +128,7 @@
                     host.busy_until = now + WAY;
                     let taken = service.takes(now, groups.serialize_bin().len());
                     // The condition: nobody has formed them meanwhile.
-                    if taken && !service.stores.formed() {
+                    if taken && !service.stores.is_formed() {
                         service.stores = groups;
                         service.record(now);
                     }
@@ -136,8 +136,11 @@
             }
         }
         let all_started = hosts.iter().all(|host| host.starts <= now);
-        if service.stores.formed() && all_started {
-            let formed = service.seen.iter().find(|(_, stores, _)| stores.formed());
+        if service.stores.is_formed() && all_started {
+            let formed = service
+                .seen
+                .iter()
+                .find(|(_, stores, _)| stores.is_formed());
             let formed_at = formed.map_or(now, |(at, _, _)| *at);
             return Outcome {
                 formed_after: formed_at - began,
--- a/crates/stageyoke-store/tests/group_test.rs
+++ b/crates/stageyoke-store/tests/group_test.rs
@@ -76,7 +76,7 @@
 
 fn list(stores: &[Store]) -> Rc<StoreGroups> {
     let members = stores.iter().fold(Members::default(), |list, store| {
-        list.with(Member {
+        list.with_member(Member {
             node: store.keeper.node.clone(),
             address: Text::from(store.address.to_string()),
             zone: Text::from("zone"),
@@ -327,7 +327,7 @@
         let left = stores.remove(0);
         let members = grown.group(GroupNumber(0)).expect("group");
         let rest = members.list_without(&left.keeper.node);
-        let newest = members.changing_to(rest).settle();
+        let newest = members.start_change(rest).settle_change();
         let newest = Rc::new(StoreGroups::single(newest));
         assert!(newest.version > group.stores().version + 1);
         for store in &stores {
@@ -406,7 +406,7 @@
         for number in 0..3 {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
             let address = listener.local_addr().expect("address");
-            members = members.with(Member {
+            members = members.with_member(Member {
                 node: Text::from(format!("store-{number}")),
                 address: Text::from(address.to_string()),
                 zone: Text::from("zone"),
--- a/crates/stageyoke-store/tests/joint_lists_test.rs
+++ b/crates/stageyoke-store/tests/joint_lists_test.rs
@@ -69,7 +69,7 @@
             let (keeper, results) = Keeper::open(node, data, recovered, limits).expect("threads");
             let keeper = Rc::new(keeper);
             let members = (0..3).fold(Members::default(), |list, number| {
-                list.with(member(number, &format!("10.0.0.{number}:7000"), "zone"))
+                list.with_member(member(number, &format!("10.0.0.{number}:7000"), "zone"))
             });
             let old = members.version;
             keeper.set_stores(Rc::new(StoreGroups::single(members.clone())));
@@ -81,7 +81,7 @@
             assert_eq!(keeper.under_way(), 1, "it waits for the disk");
             let mut list = members.list.clone();
             list[2] = member(3, "10.0.0.3:7000", "zone");
-            let newer = members.changing_to(list);
+            let newer = members.start_change(list);
             keeper.set_stores(Rc::new(StoreGroups::single(newer.clone())));
             while !keeper.stores_saved() {
                 tokio::time::sleep(Duration::from_millis(1)).await;
@@ -164,8 +164,8 @@
                 before: List::default(),
             };
             // Store 3 has taken the place of store 0, which hears of nothing.
-            let change = before.changing_to(List(vec![entry(3), entry(1), entry(2)]));
-            let after = change.settle();
+            let change = before.start_change(List(vec![entry(3), entry(1), entry(2)]));
+            let after = change.settle_change();
             let old = Rc::new(StoreGroups::single(before));
             let new = Rc::new(StoreGroups::single(after.clone()));
             stores[0].keeper.set_stores(old.clone());
@@ -222,7 +222,7 @@
         machines: 1,
         zones: 1,
         regions: 0,
-        regions_of_zones: BTreeMap::new(),
+        region_by_zone: BTreeMap::new(),
     };
     let list = vec![
         member(0, "10.0.0.0:7000", "one"),
@@ -293,7 +293,7 @@
         .run_until(async {
             let tolerance = Tolerance::of_machines(1);
             let members = (0..3).fold(Members::default(), |list, number| {
-                list.with(member(number, &format!("10.0.0.{number}:7000"), "zone"))
+                list.with_member(member(number, &format!("10.0.0.{number}:7000"), "zone"))
             });
             let version = members.version;
             let stores = Rc::new(StoreGroups::single(members.clone()));
@@ -315,7 +315,7 @@
             let (again, _again_folder) = keeper(0, false).await;
             again.set_stores(stores.clone());
             assert!(!again.complete() && !again.is_listed_with_disk());
-            let told = members.with(Member {
+            let told = members.with_member(Member {
                 disk: again.disk(),
                 ..member(0, "10.0.0.0:7000", "zone")
             });
@@ -442,7 +442,7 @@
             let keeper = Rc::new(keeper);
             let collector = keeper.clone();
             tokio::task::spawn_local(async move { collector.collect(results).await });
-            let members = Members::default().with(member(0, "10.0.0.0:7000", "zone"));
+            let members = Members::default().with_member(member(0, "10.0.0.0:7000", "zone"));
             let version = members.version;
             keeper.set_stores(Rc::new(StoreGroups::single(members)));
             while !keeper.stores_saved() {
@@ -496,8 +496,10 @@
         .run_until(async {
             let tolerance = Tolerance::of_machines(1);
             let entry = |number: usize| member(number, &format!("10.0.0.{number}:7000"), "zone");
-            let old = (0..3).fold(Members::default(), |list, number| list.with(entry(number)));
-            let change = old.changing_to(List(vec![entry(0), entry(1), entry(3)]));
+            let old = (0..3).fold(Members::default(), |list, number| {
+                list.with_member(entry(number))
+            });
+            let change = old.start_change(List(vec![entry(0), entry(1), entry(3)]));
             let old_stores = Rc::new(StoreGroups::single(old.clone()));
             let new_stores = Rc::new(StoreGroups::single(change.clone()));
             let (first, _first) = keeper(0, true).await;
@@ -571,7 +573,7 @@
                 list_age: Duration::ZERO,
                 replace_after: Duration::from_secs(2),
             };
-            let settled = change.settle();
+            let settled = change.settle_change();
             let step = decide(&change, &oneself, &peers, &tolerance);
             assert_eq!(step, Step::Change(settled.clone()), "it is settled");
             let settled_stores = Rc::new(StoreGroups::single(settled.clone()));
--- a/crates/stageyoke-store/tests/membership_test.rs
+++ b/crates/stageyoke-store/tests/membership_test.rs
@@ -27,7 +27,9 @@
 }
 
 fn members(count: usize) -> Members {
-    (0..count).fold(Members::default(), |list, number| list.with(member(number)))
+    (0..count).fold(Members::default(), |list, number| {
+        list.with_member(member(number))
+    })
 }
 
 fn oneself(number: usize) -> Oneself {
@@ -140,7 +142,7 @@
     };
     let step = decide(&list, &newcomer, &peers(&list, 3, &[], &[]), &tolerance());
     let expected = match waits_for {
-        None => Step::Change(list.changing_to(members(4).list)),
+        None => Step::Change(list.start_change(members(4).list)),
         Some(waiting) => Step::Rest(waiting),
     };
     assert_eq!(step, expected);
@@ -167,7 +169,7 @@
 #[test]
 fn a_new_store_waits_for_the_change_under_way() {
     let list = members(3);
-    let during = list.changing_to(members(4).list);
+    let during = list.start_change(members(4).list);
     let health = peers(&during, 4, &[], &[]);
     let step = decide(&during, &oneself(4), &health, &tolerance());
     assert_eq!(step, Step::Rest(Waiting::Settling));
@@ -185,7 +187,7 @@
     let health = peers(&list, count, &[gone(1)], &[]);
     let step = decide(&list, &successor, &health, &tolerance());
     let replaced = list.list_replacing("store-1", member(count));
-    assert_eq!(step, Step::Change(list.changing_to(replaced)));
+    assert_eq!(step, Step::Change(list.start_change(replaced)));
     let short = peers(&list, count, &[(1, REPLACE_AFTER)], &[]);
     let whole = Oneself {
         room: false,
@@ -200,12 +202,12 @@
 #[test]
 fn a_successor_takes_the_place_of_a_new_member_that_is_silent() {
     let list = members(3);
-    let during = list.changing_to(list.list_replacing("store-1", member(3)));
+    let during = list.start_change(list.list_replacing("store-1", member(3)));
     let health = peers(&during, 4, &[gone(3), gone(1)], &[]);
     let step = decide(&during, &oneself(4), &health, &tolerance());
     let replaced = during.list_replacing("store-3", member(4));
-    assert_eq!(step, Step::Change(during.changing_to(replaced.clone())));
-    assert_eq!(during.changing_to(replaced).before, list.list);
+    assert_eq!(step, Step::Change(during.start_change(replaced.clone())));
+    assert_eq!(during.start_change(replaced).before, list.list);
 }
 
 #[test]
@@ -239,7 +241,7 @@
     #[case] waits_for: Option<Waiting>,
 ) {
     let list = members(3);
-    let during = list.changing_to(list.list_replacing("store-1", member(3)));
+    let during = list.start_change(list.list_replacing("store-1", member(3)));
     let proposer = Oneself {
         complete,
         fenced,
@@ -248,7 +250,7 @@
     let health = peers(&during, 0, &[dead(1)], behind);
     let step = decide(&during, &proposer, &health, &tolerance());
     let expected = match waits_for {
-        None => Step::Change(during.settle()),
+        None => Step::Change(during.settle_change()),
         Some(waiting) => Step::Rest(waiting),
     };
     assert_eq!(step, expected);
@@ -259,7 +261,7 @@
 #[test]
 fn holders_are_members_of_the_new_list() {
     let list = members(3);
-    let during = list.changing_to(list.list_without("store-2"));
+    let during = list.start_change(list.list_without("store-2"));
     let leaver = Oneself {
         retiring: true,
         list_age: OTHERS_STEP_AFTER,
@@ -274,7 +276,7 @@
     let waits = Step::Rest(Waiting::Holders);
     assert_eq!(step, waits, "store-0 alone holds it");
     let step = decide(&during, &leaver, &peers(&during, 2, &[], &[]), &tolerance());
-    assert_eq!(step, Step::Change(during.settle()));
+    assert_eq!(step, Step::Change(during.settle_change()));
 }
 
 /// The fence of a change is as many of the members before as every write quorum meets.
@@ -289,7 +291,7 @@
     #[case] expected: bool,
 ) {
     let list = members(count);
-    let during = list.changing_to(list.list_replacing("store-1", member(count)));
+    let during = list.start_change(list.list_replacing("store-1", member(count)));
     let known = |member: &Member| {
         let mut numbers = in_step.iter();
         numbers.any(|number| member.node == format!("store-{number}").into())
@@ -301,13 +303,13 @@
 #[test]
 fn one_store_makes_the_step_and_the_others_after_a_while() {
     let list = members(3);
-    let during = list.changing_to(members(4).list);
+    let during = list.start_change(members(4).list);
     let health = peers(&during, 1, &[], &[]);
     let second = oneself(1);
     let step = decide(&during, &second, &health, &tolerance());
     assert_eq!(step, Step::Rest(Waiting::FirstMember));
     let first_is_silent = peers(&during, 1, &[gone(0)], &[]);
-    let settled = Step::Change(during.settle());
+    let settled = Step::Change(during.settle_change());
     let step = decide(&during, &second, &first_is_silent, &tolerance());
     assert_eq!(step, settled);
     let later = Oneself {
@@ -334,7 +336,7 @@
         next.retain(|member| member.node == "store-0".into());
         next.push(member(3));
     }
-    let during = list.changing_to(next);
+    let during = list.start_change(next);
     let silent: Vec<(usize, Duration)> = silent.iter().map(|number| gone(*number)).collect();
     let proposer = Oneself {
         fenced: false,
@@ -343,7 +345,7 @@
     };
     let health = peers(&during, 2, &silent, &[]);
     let expected = match given_up {
-        true => Step::Change(during.give_up()),
+        true => Step::Change(during.abandon_change()),
         false => Step::Rest(Waiting::Fence),
     };
     assert_eq!(decide(&during, &proposer, &health, &tolerance()), expected);
@@ -368,7 +370,7 @@
     let expected = match removed {
         Some(number) => {
             let rest = list.list_without(&format!("store-{number}"));
-            Step::Change(list.changing_to(rest))
+            Step::Change(list.start_change(rest))
         }
         None if silent.is_empty() => Step::Rest(Waiting::Nothing),
         None => Step::Rest(Waiting::Successor),
@@ -410,14 +412,14 @@
     let Step::Change(during) = decide(&list, &oneself(0), &health, &tolerance) else {
         panic!("it is removed");
     };
-    assert_eq!(during, list.changing_to(list.list_without("store-3")));
+    assert_eq!(during, list.start_change(list.list_without("store-3")));
     let health = peers(&during, 0, &[dead(2), longer], &[2, 3]);
     let step = decide(&during, &oneself(0), &health, &tolerance);
-    let rest = during.settle();
+    let rest = during.settle_change();
     assert_eq!(step, Step::Change(rest.clone()));
     let health = peers(&rest, 0, &[dead(2)], &[]);
     let step = decide(&rest, &oneself(0), &health, &tolerance);
-    let without = rest.changing_to(rest.list_without("store-2"));
+    let without = rest.start_change(rest.list_without("store-2"));
     assert_eq!(step, Step::Change(without));
     let three = peers(&list, 0, &[dead(1), dead(2), dead(3)], &[]);
     let step = decide(&list, &oneself(0), &three, &tolerance);
@@ -450,7 +452,7 @@
     let health = peers(&list, count - 1, &silent, &[]);
     let rest = list.list_without(&format!("store-{}", count - 1));
     let expected = match begins {
-        true => Step::BeginLeaving(list.changing_to(rest)),
+        true => Step::BeginLeaving(list.start_change(rest)),
         false => Step::Rest(Waiting::OthersToServe),
     };
     assert_eq!(decide(&list, &leaver, &health, &tolerance()), expected);
@@ -461,7 +463,9 @@
 #[test]
 fn a_removed_store_that_comes_back_joins_again() {
     let list = members(3);
-    let rest = list.changing_to(list.list_without("store-1")).settle();
+    let rest = list
+        .start_change(list.list_without("store-1"))
+        .settle_change();
     let health = peers(&rest, 1, &[], &[]);
     let back = Oneself {
         caught_up: false,
@@ -472,7 +476,7 @@
     let step = decide(&rest, &oneself(1), &health, &tolerance());
     let mut whole = rest.list.clone();
     whole.push(member(1));
-    assert_eq!(step, Step::Change(rest.changing_to(whole)));
+    assert_eq!(step, Step::Change(rest.start_change(whole)));
 }
 
 /// A member too many leaves as one that retires.
@@ -488,6 +492,6 @@
     assert_eq!(step, Step::Rest(Waiting::Nothing));
     extra.list_age = SURPLUS_AFTER;
     let step = decide(&list, &extra, &health, &tolerance());
-    let rest = list.changing_to(members(3).list);
+    let rest = list.start_change(members(3).list);
     assert_eq!(step, Step::BeginLeaving(rest));
 }
--- a/crates/stageyoke-store/tests/owners_test.rs
+++ b/crates/stageyoke-store/tests/owners_test.rs
@@ -135,7 +135,7 @@
         tokio::task::spawn_local(serve(listener, store.clone()));
         let member = member(number, &address);
         stores.insert(member.node.clone(), store);
-        members = members.with(member);
+        members = members.with_member(member);
     }
     let map = StoreGroups::single(members);
     let tolerance = Tolerance::of_machines(machines);
@@ -274,7 +274,7 @@
         let mut members = Members::default();
         for number in 0..12 {
             let placed = member(number, "127.0.0.1:1");
-            members = members.with(Member {
+            members = members.with_member(Member {
                 zone: Text::from(format!("zone-{}", number / 4)),
                 ..placed
             });
@@ -334,12 +334,12 @@
         let gone = gone % stores;
         let mut members = Members::default();
         for number in 0..stores {
-            members = members.with(member(number, "127.0.0.1:1"));
+            members = members.with_member(member(number, "127.0.0.1:1"));
         }
         let (before, after) = (Owners::default(), Owners::default());
         before.follow(&StoreGroups::single(members.clone()));
         let gone = Text::from(format!("store-{gone}"));
-        after.follow(&StoreGroups::single(members.changing_to(members.list_without(&gone)).settle()));
+        after.follow(&StoreGroups::single(members.start_change(members.list_without(&gone)).settle_change()));
         for tenant in tenants {
             let mut expected = before.of(tenant);
             expected.retain(|node| *node != gone);
@@ -353,7 +353,7 @@
     fn no_store_counts_for_most_tenants(seed in any::<u64>()) {
         let mut members = Members::default();
         for number in 0..11 {
-            members = members.with(member(number, "127.0.0.1:1"));
+            members = members.with_member(member(number, "127.0.0.1:1"));
         }
         let owners = Owners::default();
         owners.follow(&StoreGroups::single(members));
--- a/crates/stageyoke-store/tests/plans/store.rs
+++ b/crates/stageyoke-store/tests/plans/store.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stageyoke_directory::groups::{group_in_need, group_size};
+use stageyoke_directory::groups::{group_size, select_group_for_spare};
 use stageyoke_directory::{GroupNumber, Member, Members, StoreGroups, Tolerance};
 use stageyoke_store::completeness::Completeness;
 use stageyoke_store::exchange::{Exchange, Page};
@@ -299,7 +299,7 @@
         lives: impl Fn(&Member) -> bool,
     ) {
         let stores = self.standing.stores();
-        if !stores.formed() || self.group().is_some() {
+        if !stores.is_formed() || self.group().is_some() {
             self.target = None;
             self.spare_since = None;
             return;
@@ -309,7 +309,7 @@
         let members: Vec<Member> = stores.members().cloned().collect();
         let size = group_size(tolerance, &members);
         let node = self.entry.node.clone();
-        self.target = size.and_then(|size| group_in_need(&stores, size, &node, lives));
+        self.target = size.and_then(|size| select_group_for_spare(&stores, size, &node, lives));
         let before = self.standing.members();
         self.standing.fill_up_for(self.target);
         self.follow_members(&before, now);
@@ -425,7 +425,7 @@
     pub fn in_haste(&self) -> bool {
         let members = self.standing.members();
         let is_member = members.get(&self.entry.node).is_some();
-        !is_member || !self.standing.complete() || !members.settled()
+        !is_member || !self.standing.complete() || !members.is_settled()
     }
 
     /// Whether it fetches at once what it lacks of this peer.
--- a/crates/stageyoke-store/tests/plans/world.rs
+++ b/crates/stageyoke-store/tests/plans/world.rs
@@ -831,7 +831,7 @@
                 fewer.before.clear();
                 Rc::new(fewer)
             }
-            Flaw::OldMembersIgnored => Rc::new(members.settle()),
+            Flaw::OldMembersIgnored => Rc::new(members.settle_change()),
             _ => members.clone(),
         };
         let tolerance = match self.flaw {
@@ -864,7 +864,7 @@
 
     fn question_for(&self, members: &Rc<Members>, turn: Text) -> Option<Work> {
         let members = match self.flaw {
-            Flaw::OldMembersIgnored => Rc::new(members.settle()),
+            Flaw::OldMembersIgnored => Rc::new(members.settle_change()),
             _ => members.clone(),
         };
         let tally = ChainTally::new(&members, &self.tolerance)?;
@@ -1099,7 +1099,7 @@
             let store = store.map(|store| &self.stores[store]);
             store.is_some_and(|store| store.acts(self.now) && !store.incomplete())
         };
-        members.settled() && vouches(members, &self.tolerance, 1, complete)
+        members.is_settled() && vouches(members, &self.tolerance, 1, complete)
     }
 
     /// Once all faults are over a store that is to leave does, if the rest can
--- a/crates/stageyoke-store/tests/relay_test.rs
+++ b/crates/stageyoke-store/tests/relay_test.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use stageyoke_directory::{
-    Acceptable, DirectoryRelay, Member, MemberState, Members, StoreGroups, Tolerance,
+    DirectoryRelay, Member, MemberState, Members, RelayRequirements, StoreGroups, Tolerance,
 };
 use stageyoke_store::Groups;
 use stageyoke_store::frame;
@@ -16,9 +16,9 @@
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 
-const ACCEPTABLE: Acceptable = Acceptable {
-    within: Duration::from_secs(2),
-    oldest: Duration::from_secs(1),
+const ACCEPTABLE: RelayRequirements = RelayRequirements {
+    answer_timeout: Duration::from_secs(2),
+    max_age: Duration::from_secs(1),
 };
 const OLD: u32 = 5_000;
 const YOUNG: u32 = 100;
@@ -75,7 +75,7 @@
     for (number, (zone, age)) in ages.iter().enumerate() {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
-        members = members.with(Member {
+        members = members.with_member(Member {
             node: Text::from(format!("store-{number}")),
             address: Text::from(address.to_string()),
             zone: Text::from(*zone),
@@ -97,8 +97,11 @@
     let test = async {
         let relay = relay(&[("near", OLD), ("far", YOUNG)]).await;
         for _ in 0..20 {
-            let told = relay.changes(0, ACCEPTABLE).await.expect("a young copy");
-            assert_eq!(told.told.revision, u64::from(YOUNG));
+            let told = relay
+                .fetch_changes(0, ACCEPTABLE)
+                .await
+                .expect("a young copy");
+            assert_eq!(told.payload.revision, u64::from(YOUNG));
         }
     };
     LocalSet::new().run_until(test).await;
@@ -118,13 +121,13 @@
         .await;
         let mut answered = 0;
         for _ in 0..20 {
-            let told = relay.changes(0, ACCEPTABLE).await;
-            let young = told.is_some_and(|told| told.told.revision == u64::from(YOUNG));
+            let told = relay.fetch_changes(0, ACCEPTABLE).await;
+            let young = told.is_some_and(|told| told.payload.revision == u64::from(YOUNG));
             answered += usize::from(young);
         }
         assert!(answered >= 15, "{answered} of 20 questions");
         assert!(
-            relay.changes(0, ACCEPTABLE).await.is_some(),
+            relay.fetch_changes(0, ACCEPTABLE).await.is_some(),
             "the last that knew is kept"
         );
     };
@@ -153,7 +156,7 @@
         for _ in 0..60 {
             let groups = Groups::new(Text::from("near"), Tolerance::of_machines(1));
             let relay = StoreRelay::new(Rc::new(groups), vec![seed.clone()]);
-            let told = relay.items(ACCEPTABLE).await;
+            let told = relay.fetch_items(ACCEPTABLE).await;
             assert!(told.is_some());
         }
         let counts: Vec<usize> = counts.iter().map(|count| count.get()).collect();
