--- a/crates/stageyoke-front/src/attempt.rs
+++ b/crates/stageyoke-front/src/attempt.rs
@@ -11,7 +11,7 @@
 };
 use hyper::http::uri::PathAndQuery;
 use hyper::{HeaderMap, Method, Request, Response, StatusCode, Uri};
-use stageyoke_store::rank_load::Ranked;
+use stageyoke_store::rank_load::ServiceRank;
 use stageyoke_types::Text;
 use tokio::time::Instant;
 
@@ -55,7 +55,7 @@
     /// Whether it may run more than once.
     pub repeatable: bool,
     /// For turns at engines: under what they are counted there.
-    pub ranked: Option<Ranked>,
+    pub ranked: Option<ServiceRank>,
 }
 
 /// An answer whose body is still to be read.
--- a/crates/stageyoke-front/src/beginnings.rs
+++ b/crates/stageyoke-front/src/beginnings.rs
@@ -76,7 +76,7 @@
         let Verdict::TurnedAway(after) = contention.decide(order) else {
             return Ok(());
         };
-        let begun = self.history.stores.has_begun(program, ASK_WITHIN).await;
+        let begun = self.history.stores.has_started(program, ASK_WITHIN).await;
         story.placement = describe(&contention, order, begun);
         if begun != Some(false) {
             return Ok(());
@@ -102,7 +102,7 @@
         let ranked = call.outbound.ranked?;
         Some(Contention {
             places: self.fleet.places(&call.service.name),
-            as_urgent: self.fleet.load().ranks.as_urgent(ranked)?,
+            as_urgent: self.fleet.load().ranks.in_flight_at_or_above(ranked)?,
         })
     }
 }
--- a/crates/stageyoke-front/src/fleet.rs
+++ b/crates/stageyoke-front/src/fleet.rs
@@ -6,7 +6,7 @@
 
 use stageyoke_directory::{GroupNumber, ReplicaRecord, ReplicaState};
 use stageyoke_observe as observe;
-use stageyoke_store::LoadBoard;
+use stageyoke_store::LoadTracker;
 use stageyoke_types::{Event, Text};
 use tokio::time::Instant;
 
@@ -34,7 +34,7 @@
 
 /// Replicas by service.
 pub struct Fleet {
-    load: Rc<LoadBoard>,
+    load: Rc<LoadTracker>,
     rest_limit: Rc<Cell<RestLimit>>,
     groups: Cell<usize>,
     replicas: RefCell<HashMap<Text, Rc<Replica>>>,
@@ -44,7 +44,7 @@
 
 impl Fleet {
     /// No replicas yet; what is under way is counted on this board.
-    pub fn new(load: Rc<LoadBoard>) -> Self {
+    pub fn new(load: Rc<LoadTracker>) -> Self {
         Self {
             load,
             rest_limit: Rc::default(),
@@ -168,7 +168,7 @@
     }
 
     /// What is under way at all replicas, as this front and others count it.
-    pub fn load(&self) -> &LoadBoard {
+    pub fn load(&self) -> &LoadTracker {
         &self.load
     }
 
--- a/crates/stageyoke-front/src/front.rs
+++ b/crates/stageyoke-front/src/front.rs
@@ -10,7 +10,7 @@
 
 use stageyoke_directory::{GroupNumber, Interpreter, KeyValueService, Mirror, Tolerance};
 use stageyoke_policy::retry_budget::RetryBudget;
-use stageyoke_store::Groups;
+use stageyoke_store::GroupClients;
 use stageyoke_store::extension::describe_build;
 use stageyoke_store::relay::StoreRelay;
 use stageyoke_store::role::report_mirror_event;
@@ -148,7 +148,7 @@
         let mut told: BTreeSet<GroupNumber> = BTreeSet::new();
         loop {
             tokio::time::sleep(PROBE_PAUSE).await;
-            let failing = self.history.stores.failing();
+            let failing = self.history.stores.failing_groups();
             for group in &failing {
                 let number = group.number();
                 if told.insert(number) {
@@ -191,7 +191,7 @@
         }
         let version = view.routes.as_ref().map_or(0, |routes| routes.version);
         metrics.routes_version.set(version as i64);
-        self.history.stores.follow(&view.stores);
+        self.history.stores.update_stores(&view.stores);
     }
 }
 
@@ -204,13 +204,13 @@
     mirror: Mirror<S, I>,
     stop: impl Future<Output = ()>,
 ) -> io::Result<()> {
-    let stores = Groups::new(settings.zone.clone(), settings.tolerance.clone());
-    let stores = Rc::new(stores.confirming(mirror.freshness().clone()));
+    let stores = GroupClients::new(settings.zone.clone(), settings.tolerance.clone());
+    let stores = Rc::new(stores.with_directory_freshness(mirror.freshness().clone()));
     if settings.admission_control {
-        stores.load().ranks.tell_others();
+        stores.load().ranks.enable_reports();
     }
     if settings.uneven_engines {
-        stores.load().engines.tell_others();
+        stores.load().engines.enable_reports();
     }
     let relay = StoreRelay::new(stores.clone(), settings.seeds.clone());
     let mirror = Rc::new(mirror.relayed(Rc::new(relay)));
--- a/crates/stageyoke-front/src/handler.rs
+++ b/crates/stageyoke-front/src/handler.rs
@@ -12,8 +12,8 @@
 use hyper::{Request, Response};
 use stageyoke_directory::{Interpreter, KeyValueService, Route, RouteTable, ServiceSpec};
 use stageyoke_store::message::Placement;
-use stageyoke_store::owners::Grant;
-use stageyoke_store::rank_load::Ranked;
+use stageyoke_store::quota_owners::QuotaGrant;
+use stageyoke_store::rank_load::ServiceRank;
 use stageyoke_types::ErrorKind;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
@@ -172,7 +172,7 @@
             body: input.clone(),
             deadline,
             repeatable: route.repeatable(),
-            ranked: service.engine.as_ref().map(|_| Ranked {
+            ranked: service.engine.as_ref().map(|_| ServiceRank {
                 service: service_number(&service.name),
                 rank: access.order(&route),
             }),
@@ -210,7 +210,7 @@
         self: &Rc<Self>,
         mut call: Call,
         story: &mut Story,
-        granted: &RefCell<Option<Grant>>,
+        granted: &RefCell<Option<QuotaGrant>>,
     ) -> Result<Response<FrontBody>, Failure> {
         story.priority = call.access.priority(&call.route);
         let ledger: RefCell<String> = RefCell::default();
@@ -256,7 +256,7 @@
         call: &Call,
         expected: Option<Placement>,
         ledger: &RefCell<String>,
-        granted: &RefCell<Option<Grant>>,
+        granted: &RefCell<Option<QuotaGrant>>,
     ) -> Result<(Reserved, Found), Failure> {
         let needs =
             async { tokio::join!(self.reserve(call, expected, ledger), self.transcript(call)) };
--- a/crates/stageyoke-front/src/history.rs
+++ b/crates/stageyoke-front/src/history.rs
@@ -10,7 +10,7 @@
 use stageyoke_store::keys::TurnKey;
 use stageyoke_store::message::{ChainPart, Placement};
 use stageyoke_store::{
-    ChainOutcome, GroupError, Groups, LedgerView, RecentTurns, Record, TurnRecord,
+    ChainOutcome, GroupClients, GroupError, LedgerView, RecentTurns, Record, TurnRecord,
 };
 use stageyoke_types::{Blob, Text};
 use tokio::time::Instant;
@@ -38,13 +38,13 @@
 /// History and budgets, through the store groups.
 pub struct History {
     /// The store groups.
-    pub stores: Rc<Groups>,
+    pub stores: Rc<GroupClients>,
     cache: RefCell<RecentTurns>,
 }
 
 impl History {
     /// History kept by these groups.
-    pub fn new(stores: Rc<Groups>) -> Self {
+    pub fn new(stores: Rc<GroupClients>) -> Self {
         Self {
             stores,
             cache: RefCell::new(RecentTurns::new(CACHE_BYTES)),
@@ -61,10 +61,10 @@
         };
         if !missing.is_empty() {
             match self.stores.chain(program, &missing, within).await {
-                ChainOutcome::Whole(rest) => parts.extend(rest),
+                ChainOutcome::Complete(rest) => parts.extend(rest),
                 ChainOutcome::Absent(absent) if absent == *turn => return Transcript::Absent,
                 // An ancestor of a turn that exists is never simply absent.
-                ChainOutcome::Absent(_) | ChainOutcome::Unsure => return Transcript::Unsure,
+                ChainOutcome::Absent(_) | ChainOutcome::Unknown => return Transcript::Unsure,
             }
         }
         let mut text = BytesMut::new();
@@ -108,7 +108,10 @@
             most,
         };
         let began = Instant::now();
-        let ledger = self.stores.append_placed(record, placement, within).await;
+        let ledger = self
+            .stores
+            .append_with_placement(record, placement, within)
+            .await;
         metrics()
             .reserve_seconds
             .observe(began.elapsed().as_secs_f64());
@@ -186,7 +189,7 @@
     /// The turn is to run there.
     pub fn place(&self, placement: Placement) {
         let stores = &self.history.stores;
-        stores.tell_placed(&self.program, &self.turn, placement);
+        stores.report_placement(&self.program, &self.turn, placement);
     }
 
     /// The turn's record tells that it is over.
@@ -208,7 +211,7 @@
             self.history.settle(&self.program, &self.turn, 0);
         } else if !self.told_end {
             let stores = &self.history.stores;
-            stores.tell_ended(&self.program, &self.turn);
+            stores.report_turn_end(&self.program, &self.turn);
         }
     }
 }
--- a/crates/stageyoke-front/src/quota.rs
+++ b/crates/stageyoke-front/src/quota.rs
@@ -11,9 +11,9 @@
 use stageyoke_observe as observe;
 use stageyoke_policy::bucket::{Bucket, Limit};
 use stageyoke_policy::quota::{Question, Verdict};
-use stageyoke_store::Groups;
+use stageyoke_store::GroupClients;
 use stageyoke_store::keys::TurnKey;
-use stageyoke_store::owners::Grant;
+use stageyoke_store::quota_owners::QuotaGrant;
 use stageyoke_types::{ErrorKind, Event, Text};
 use tokio::time::Instant;
 
@@ -44,7 +44,7 @@
 
 /// Limits of tenants as one front keeps them.
 pub struct Quotas {
-    stores: Rc<Groups>,
+    stores: Rc<GroupClients>,
     started: Instant,
     fronts: Cell<u16>,
     tenants: RefCell<HashMap<u64, Known>>,
@@ -64,7 +64,7 @@
 
 impl Quotas {
     /// Asks these stores.
-    pub fn new(stores: Rc<Groups>) -> Self {
+    pub fn new(stores: Rc<GroupClients>) -> Self {
         Self {
             stores,
             started: Instant::now(),
@@ -84,7 +84,7 @@
 
     /// Counts a request, or refuses it: it was not run then. Tells the grant, where an
     /// owner has given one.
-    pub async fn admit(&self, asked: Asked<'_>) -> Result<Option<Grant>, Failure> {
+    pub async fn admit(&self, asked: Asked<'_>) -> Result<Option<QuotaGrant>, Failure> {
         let Some(limit) = asked.tenant.limit else {
             return Ok(None);
         };
@@ -115,15 +115,15 @@
     }
 
     /// A request that was granted has not run: its tenant may make another one.
-    pub fn give_back(&self, grant: &Grant) {
-        self.stores.give_back(grant);
+    pub fn give_back(&self, grant: &QuotaGrant) {
+        self.stores.refund(grant);
     }
 
-    async fn ask_owners(&self, question: Question) -> (Verdict, Option<Grant>) {
+    async fn ask_owners(&self, question: Question) -> (Verdict, Option<QuotaGrant>) {
         if self.stores.all_failing_for().is_some() {
             return (Verdict::Unknown, None);
         }
-        let Some(ruling) = self.stores.ask_quota(question).await else {
+        let Some(ruling) = self.stores.request_quota(question).await else {
             return (Verdict::Unknown, None);
         };
         if ruling.fronts > 0 {
--- a/crates/stageyoke-front/src/replica.rs
+++ b/crates/stageyoke-front/src/replica.rs
@@ -6,8 +6,8 @@
 
 use stageyoke_directory::{GroupNumber, ReplicaRecord, ReplicaStart};
 use stageyoke_observe as observe;
-use stageyoke_store::LoadBoard;
-use stageyoke_store::rank_load::Ranked;
+use stageyoke_store::LoadTracker;
+use stageyoke_store::rank_load::ServiceRank;
 use stageyoke_types::hash::mix;
 use stageyoke_types::{Event, Text};
 use tokio::time::Instant;
@@ -23,7 +23,7 @@
 /// What replicas share.
 pub struct Shared {
     /// Counts what is under way.
-    pub load: Rc<LoadBoard>,
+    pub load: Rc<LoadTracker>,
     /// How long connections may rest.
     pub rest_limit: Rc<Cell<RestLimit>>,
     /// Rates of the service's engines.
@@ -39,7 +39,7 @@
     /// Kept connections.
     pub pool: Pool,
     hash: u64,
-    load: Rc<LoadBoard>,
+    load: Rc<LoadTracker>,
     rest_limit: Rc<Cell<RestLimit>>,
     held_parts: RefCell<HeldParts>,
     rates: Rc<Cell<EngineRates>>,
@@ -105,10 +105,10 @@
     }
 
     /// Counts a request as under way until the guard is dropped.
-    pub fn begin(self: &Rc<Self>, ranked: Option<Ranked>) -> InFlight {
-        self.load.begin(self.short_hash());
+    pub fn begin(self: &Rc<Self>, ranked: Option<ServiceRank>) -> InFlight {
+        self.load.start_request(self.short_hash());
         if let Some(ranked) = ranked {
-            self.load.ranks.begin(ranked);
+            self.load.ranks.start_turn(ranked);
         }
         InFlight {
             replica: self.clone(),
@@ -127,7 +127,7 @@
 
     /// Requests under way there, as far as known.
     pub fn under_way(&self) -> u32 {
-        self.load.under_way(self.short_hash())
+        self.load.in_flight(self.short_hash())
     }
 
     /// The store group whose programs it serves first.
@@ -145,11 +145,11 @@
     fn in_flight(&self, group: Option<GroupNumber>) -> u32 {
         let replica = self.short_hash();
         let counted = match (group, self.cell.get()) {
-            (Some(group), Some(cell)) if group == cell => self.load.placed(group, replica),
+            (Some(group), Some(cell)) if group == cell => self.load.placed_turns(group, replica),
             _ => None,
         };
         match counted {
-            Some(counted) => counted.max(self.load.own(replica)),
+            Some(counted) => counted.max(self.load.local_in_flight(replica)),
             None => self.under_way(),
         }
     }
@@ -157,7 +157,7 @@
     /// Its deviation from the rates of its service's engines: by what all fronts see of
     /// it, or else this one alone.
     pub fn slowness(&self) -> f64 {
-        let told = self.load.engines.times(self.short_hash());
+        let told = self.load.engines.slowdown(self.short_hash());
         told.unwrap_or_else(|| self.slowness.get().factor(Instant::now()))
     }
 
@@ -168,7 +168,7 @@
         let mut slowness = self.slowness.get();
         let current = rates.current();
         if let Some(ratio) = timing.ratio(&current) {
-            self.load.engines.note(self.short_hash(), ratio);
+            self.load.engines.record_ratio(self.short_hash(), ratio);
         }
         slowness.note(timing, &current, now);
         rates.note(timing, slowness.factor(now), now);
@@ -178,7 +178,7 @@
 
     /// An answer took so many times as long as such answers do; others are told.
     pub fn note_pace(&self, ratio: f64) {
-        self.load.note_pace(self.short_hash(), ratio);
+        self.load.record_latency_ratio(self.short_hash(), ratio);
     }
 
     /// Takes what a request showed of it, and tells other fronts of a failure.
@@ -206,7 +206,7 @@
             _ => return,
         };
         self.suspended.set(suspended);
-        let reports = self.load.suspected_by(self.short_hash());
+        let reports = self.load.suspecting_fronts(self.short_hash());
         let detail = format!(
             "replica={} evidence={evidence:?} failure={failure:.2} reports={reports}",
             self.id
@@ -249,7 +249,7 @@
 
     /// Likelihood that it fails the next request, with what others report.
     pub fn failure(&self, now: Instant) -> f64 {
-        let reports = self.load.suspected_by(self.short_hash());
+        let reports = self.load.suspecting_fronts(self.short_hash());
         health::combined(self.health.get().failure(now), reports)
     }
 
@@ -260,7 +260,7 @@
             local: self.record.zone.as_str() == wanted.zone,
             in_flight: self.in_flight(wanted.group),
             in_cell: wanted.group.is_some() && self.cell.get() == wanted.group,
-            slowness: self.slowness() * self.load.slowness(self.short_hash()),
+            slowness: self.slowness() * self.load.slowdown(self.short_hash()),
             failure: self.failure(Instant::now()),
             held_tokens: self.held_parts.borrow().held(wanted.prompt),
             slots: self.record.slots,
@@ -273,15 +273,15 @@
 /// A request under way at a replica.
 pub struct InFlight {
     replica: Rc<Replica>,
-    ranked: Option<Ranked>,
+    ranked: Option<ServiceRank>,
 }
 
 impl Drop for InFlight {
     fn drop(&mut self) {
         let load = &self.replica.load;
-        load.end(self.replica.short_hash());
+        load.end_request(self.replica.short_hash());
         if let Some(ranked) = self.ranked {
-            load.ranks.end(ranked);
+            load.ranks.end_turn(ranked);
         }
     }
 }
--- a/crates/stageyoke-front/src/turns.rs
+++ b/crates/stageyoke-front/src/turns.rs
@@ -108,7 +108,7 @@
                 self.group_retry(call),
             )
         })?;
-        let others = ledger.total_without(&turn);
+        let others = ledger.total_excluding(&turn);
         *note.borrow_mut() = format!(
             "budget={budget} others={others} most={most} turns={}",
             ledger.turns()
--- a/crates/stageyoke-front/tests/cells_test.rs
+++ b/crates/stageyoke-front/tests/cells_test.rs
@@ -11,7 +11,7 @@
 use stageyoke_front::fleet::{Fleet, Wanted};
 use stageyoke_front::placement::{Candidate, choose_engine};
 use stageyoke_front::prompt::Prompt;
-use stageyoke_store::LoadBoard;
+use stageyoke_store::LoadTracker;
 use stageyoke_store::load::PlacedTurns;
 use stageyoke_store::message::{OthersReport, Placement};
 use stageyoke_types::Text;
@@ -90,7 +90,7 @@
 
 /// The engines of each group, by their hashes.
 fn cells(count: usize, groups: usize) -> Vec<BTreeSet<u64>> {
-    let fleet = Fleet::new(Rc::new(LoadBoard::new(1)));
+    let fleet = Fleet::new(Rc::new(LoadTracker::new(1)));
     fleet.set_groups(groups);
     fleet.follow(&records(count), None);
     let cell = |group: u32| {
@@ -142,7 +142,7 @@
 /// fronts report.
 #[tokio::test(start_paused = true)]
 async fn a_group_sees_its_own_count() {
-    let board = Rc::new(LoadBoard::new(1));
+    let board = Rc::new(LoadTracker::new(1));
     let fleet = Fleet::new(board.clone());
     fleet.set_groups(1);
     fleet.follow(&records(6), None);
@@ -161,13 +161,13 @@
             replica: first.short_hash(),
             lasting_milliseconds: 4_000,
         };
-        placed.begin(turn, placement);
+        placed.start(turn, placement);
     }
     let told = OthersReport {
-        placed: placed.others(9),
+        placed: placed.counts_excluding(9),
         ..Default::default()
     };
-    board.hear(GroupNumber(0), told);
+    board.apply_report(GroupNumber(0), told);
     let seen = RefCell::new(Vec::new());
     fleet.choose(&wanted, |candidates| {
         let in_flight = candidates.iter().map(|candidate| candidate.in_flight);
--- a/crates/stageyoke-front/tests/health_test.rs
+++ b/crates/stageyoke-front/tests/health_test.rs
@@ -13,7 +13,7 @@
 use stageyoke_front::prompt::Prompt;
 use stageyoke_front::replica::Replica;
 use stageyoke_store::load::LoadReports;
-use stageyoke_store::{LoadBoard, message::OthersReport};
+use stageyoke_store::{LoadTracker, message::OthersReport};
 use stageyoke_types::{List, Text};
 use tokio::time::Instant;
 
@@ -35,8 +35,8 @@
         .collect()
 }
 
-fn fleet(replicas: u8) -> (Fleet, Rc<LoadBoard>) {
-    let board = Rc::new(LoadBoard::new(1));
+fn fleet(replicas: u8) -> (Fleet, Rc<LoadTracker>) {
+    let board = Rc::new(LoadTracker::new(1));
     let fleet = Fleet::new(board.clone());
     fleet.follow(&records(replicas), None);
     (fleet, board)
@@ -167,15 +167,15 @@
     let (own, board) = fleet(3);
     let bad = choose(&own, false, 0);
     let store = LoadReports::default();
-    let hear = || board.hear(GroupNumber(0), store.of_others(1));
+    let hear = || board.apply_report(GroupNumber(0), store.report_excluding(1));
     let mut offered = Vec::new();
     for front in 2..=4 {
-        let other = Rc::new(LoadBoard::new(front));
+        let other = Rc::new(LoadTracker::new(front));
         let others = Fleet::new(other.clone());
         let record = bad.record.clone();
         others.follow(&BTreeMap::from([(bad.id.clone(), record)]), None);
         lose(&choose(&others, false, 0), 2);
-        store.take(other.report(GroupNumber(0)));
+        store.update(other.report(GroupNumber(0)));
         hear();
         offered.push((offers(&own, &bad, false) > 0, offers(&own, &bad, true) > 0));
     }
@@ -190,23 +190,29 @@
 
 #[tokio::test(start_paused = true)]
 async fn reports_stay_bounded() {
-    let board = LoadBoard::new(1);
+    let board = LoadTracker::new(1);
     for replica in 0..10_000 {
         board.suspect(replica, Duration::from_secs(1));
     }
     let report = board.report(GroupNumber(0));
-    assert_eq!(report.suspects.len(), stageyoke_store::load::MAX_SUSPECTS);
+    assert_eq!(
+        report.suspects.len(),
+        stageyoke_store::load::MAX_SUSPECTED_REPLICAS
+    );
     let store = LoadReports::default();
     for front in 2..100 {
-        store.take(stageyoke_store::message::LoadReport {
+        store.update(stageyoke_store::message::LoadReport {
             front,
             entries: List(Vec::new()),
             suspects: List((0..100).map(|number| number * front).collect()),
             paces: Default::default(),
         });
     }
-    let OthersReport { suspects, .. } = store.of_others(1);
-    assert_eq!(suspects.len(), stageyoke_store::load::MAX_SUSPECTS);
+    let OthersReport { suspects, .. } = store.report_excluding(1);
+    assert_eq!(
+        suspects.len(),
+        stageyoke_store::load::MAX_SUSPECTED_REPLICAS
+    );
     board.suspect(1, Duration::ZERO);
     tokio::time::advance(Duration::from_secs(2)).await;
     assert!(board.report(GroupNumber(0)).suspects.is_empty());
--- a/crates/stageyoke-front/tests/list_end/world.rs
+++ b/crates/stageyoke-front/tests/list_end/world.rs
@@ -13,7 +13,7 @@
 use stageyoke_front::fleet::{Fleet, Wanted};
 use stageyoke_front::placement::Candidate;
 use stageyoke_front::prompt::Prompt;
-use stageyoke_store::LoadBoard;
+use stageyoke_store::LoadTracker;
 use stageyoke_types::Text;
 use tokio::time::Instant;
 
@@ -127,7 +127,7 @@
             freshness: mirror.freshness().clone(),
         };
         let mirror = Rc::new(mirror.relayed(Rc::new(ways)));
-        let fleet = Rc::new(Fleet::new(Rc::new(LoadBoard::new(1))));
+        let fleet = Rc::new(Fleet::new(Rc::new(LoadTracker::new(1))));
         let (following, followed) = (fleet.clone(), mirror.clone());
         tokio::task::spawn_local(async move {
             let report = |_| {
--- a/crates/stageyoke-front/tests/slow_replicas_test.rs
+++ b/crates/stageyoke-front/tests/slow_replicas_test.rs
@@ -11,7 +11,7 @@
 use stageyoke_directory::GroupNumber;
 use stageyoke_front::pace::UsualTimes;
 use stageyoke_front::placement::{Candidate, choose_plain};
-use stageyoke_store::LoadBoard;
+use stageyoke_store::LoadTracker;
 use stageyoke_store::load::LoadReports;
 use stageyoke_types::Text;
 use tokio::time::Instant;
@@ -66,8 +66,8 @@
 async fn play(told: bool, seed: u64) -> Seen {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut replicas: Vec<Replica> = (0..REPLICAS).map(|_| Replica::default()).collect();
-    let boards: Vec<LoadBoard> = (0..FRONTS)
-        .map(|front| LoadBoard::new(front as u32))
+    let boards: Vec<LoadTracker> = (0..FRONTS)
+        .map(|front| LoadTracker::new(front as u32))
         .collect();
     let usual: Vec<UsualTimes> = (0..FRONTS).map(|_| UsualTimes::default()).collect();
     let stores: Vec<LoadReports> = GROUPS.iter().map(|_| LoadReports::default()).collect();
@@ -80,12 +80,12 @@
         for (front, board) in boards.iter().enumerate() {
             if (time + front as u64 * 13).is_multiple_of(EXCHANGE_MILLISECONDS) {
                 let group = random.random_range(0..GROUPS.len());
-                stores[group].take(board.report(GROUPS[group]));
-                let mut others = stores[group].of_others(front as u32);
+                stores[group].update(board.report(GROUPS[group]));
+                let mut others = stores[group].report_excluding(front as u32);
                 if !told {
                     others.slow = Default::default();
                 }
-                board.hear(GROUPS[group], others);
+                board.apply_report(GROUPS[group], others);
             }
         }
         if random.random_bool(CALLS_PER_SECOND / 1_000.0) {
@@ -94,9 +94,9 @@
                 .map(|replica| Candidate {
                     hash: replica as u64,
                     local: replica % 4 == front % 4,
-                    in_flight: boards[front].under_way(replica as u32),
+                    in_flight: boards[front].in_flight(replica as u32),
                     slots: SLOTS as u32,
-                    slowness: boards[front].slowness(replica as u32),
+                    slowness: boards[front].slowdown(replica as u32),
                     failure: 0.0,
                     held_tokens: 0,
                     in_cell: false,
@@ -111,7 +111,7 @@
                 random.random_range(1..3)
             };
             let work = -routes[route].1 * (1.0 - random.random::<f64>()).ln();
-            boards[front].begin(chosen as u32);
+            boards[front].start_request(chosen as u32);
             if (SLOW_FROM..SLOW_UNTIL).contains(&time) {
                 seen.calls += 1;
                 seen.to_slow += usize::from(slow(chosen, time));
@@ -130,10 +130,10 @@
                 }
                 let Running { job, .. } = replica.running.swap_remove(index);
                 let took = time - job.began;
-                boards[job.front].end(number as u32);
+                boards[job.front].end_request(number as u32);
                 let took_for = Duration::from_millis(took);
                 let ratio = usual[job.front].ratio(&names[job.route], took_for);
-                boards[job.front].note_pace(number as u32, ratio);
+                boards[job.front].record_latency_ratio(number as u32, ratio);
                 if (SLOW_FROM..SLOW_UNTIL).contains(&job.began) {
                     seen.late += usize::from(took >= LATE);
                     seen.summed += took;
--- a/crates/stageyoke-store/src/completeness.rs
+++ b/crates/stageyoke-store/src/completeness.rs
@@ -22,7 +22,7 @@
 
 impl Completeness {
     /// Whether the disk of the store on this machine is complete for a group.
-    pub fn holds_for(self, group: GroupNumber, node: &str, stores: &StoreGroups) -> bool {
+    pub fn is_complete_for(self, group: GroupNumber, node: &str, stores: &StoreGroups) -> bool {
         match self {
             Self::Incomplete => false,
             Self::Of(complete) => complete == group,
@@ -40,7 +40,7 @@
     }
 
     /// Reads a mark. One that can't be read vouches for nothing.
-    pub fn of_mark(mark: &str) -> Self {
+    pub fn from_mark(mark: &str) -> Self {
         if mark == SINCE_FORMATION {
             return Self::SinceFormation;
         }
--- a/crates/stageyoke-store/src/engine_pace.rs
+++ b/crates/stageyoke-store/src/engine_latency.rs
@@ -14,7 +14,7 @@
 
 use crate::extension::Deviation;
 use crate::message::PaceEntry;
-use crate::pace::{HUNDREDTHS, Paces, UntoldPaces};
+use crate::replica_latency::{HUNDREDTHS, LatencyStats, UnreportedLatencies};
 
 /// A store tells a front of deviations so often at most: the list is some hundred bytes.
 const TELL_PAUSE: Duration = Duration::from_millis(1000);
@@ -26,31 +26,31 @@
 
 /// What a front tells and has heard of engines.
 #[derive(Debug, Default)]
-pub struct EngineBoard {
+pub struct EngineTracker {
     tells: Cell<bool>,
-    untold: UntoldPaces,
+    untold: UnreportedLatencies,
     heard: RefCell<HashMap<u32, (f64, Instant)>>,
 }
 
-impl EngineBoard {
+impl EngineTracker {
     /// From now on other fronts are told how long engines take.
-    pub fn tell_others(&self) {
+    pub fn enable_reports(&self) {
         self.tells.set(true);
     }
 
     /// A turn at an engine took so many times as long as turns do.
-    pub fn note(&self, replica: u32, ratio: f64) {
+    pub fn record_ratio(&self, replica: u32, ratio: f64) {
         let (least, most) = RATIO_RANGE;
-        self.untold.note(replica, ratio.clamp(least, most));
+        self.untold.record(replica, ratio.clamp(least, most));
     }
 
     /// What a group has not been told yet; none where nothing is told to others.
-    pub fn untold(&self, group: GroupNumber) -> Option<List<PaceEntry>> {
+    pub fn take_unreported(&self, group: GroupNumber) -> Option<List<PaceEntry>> {
         self.tells.get().then(|| self.untold.take(group))
     }
 
     /// A store has told of these.
-    pub fn hear(&self, deviations: &[Deviation]) {
+    pub fn apply_report(&self, deviations: &[Deviation]) {
         let now = Instant::now();
         let mut heard = self.heard.borrow_mut();
         heard.retain(|_, (_, at)| now.duration_since(*at) < HEARD_LIFE);
@@ -61,7 +61,7 @@
     }
 
     /// How many times as long as the middle an engine takes; none where it is not known.
-    pub fn times(&self, replica: u32) -> Option<f64> {
+    pub fn slowdown(&self, replica: u32) -> Option<f64> {
         let heard = self.heard.borrow();
         let (times, at) = heard.get(&replica)?;
         (at.elapsed() < HEARD_LIFE).then_some(*times)
@@ -71,14 +71,14 @@
 /// A store's collection of what fronts tell of engines.
 #[derive(Debug)]
 pub struct EngineReports {
-    paces: RefCell<Paces>,
+    paces: RefCell<LatencyStats>,
     told: RefCell<HashMap<u32, Instant>>,
 }
 
 impl Default for EngineReports {
     fn default() -> Self {
         Self {
-            paces: RefCell::new(Paces::of_engines()),
+            paces: RefCell::new(LatencyStats::for_engines()),
             told: RefCell::default(),
         }
     }
@@ -86,12 +86,12 @@
 
 impl EngineReports {
     /// Takes what a front tells.
-    pub fn take(&self, paces: &[PaceEntry]) {
-        self.paces.borrow_mut().take(paces);
+    pub fn add(&self, paces: &[PaceEntry]) {
+        self.paces.borrow_mut().add(paces);
     }
 
     /// How far engines lie from the middle; none where this front was told just now.
-    pub fn deviations(&self, front: u32) -> Option<List<Deviation>> {
+    pub fn deviations_for(&self, front: u32) -> Option<List<Deviation>> {
         let now = Instant::now();
         let mut told = self.told.borrow_mut();
         told.retain(|_, at| now.duration_since(*at) < TELL_PAUSE);
--- a/crates/stageyoke-store/src/formation.rs
+++ b/crates/stageyoke-store/src/formation.rs
@@ -27,13 +27,13 @@
 const FORM_STAGGER: Duration = Duration::from_millis(500);
 
 /// Stores that have registered, by machine name.
-pub type Registered = BTreeMap<Text, Member>;
+pub type Registrations = BTreeMap<Text, Member>;
 
 /// What a store is to do before the groups are formed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FormationStep {
     /// Wait.
-    Rest,
+    Wait,
     /// Write its registration.
     Register,
     /// Form these groups.
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug)]
 pub struct Formation {
     register_at: Instant,
-    seen: Registered,
+    seen: Registrations,
     first_at: Option<Instant>,
     changed_at: Instant,
 }
@@ -56,14 +56,14 @@
         let now = Instant::now();
         Self {
             register_at: now + REGISTER_SPREAD.mul_f64(part),
-            seen: Registered::new(),
+            seen: Registrations::new(),
             first_at: None,
             changed_at: now,
         }
     }
 
     /// The registrations are these now.
-    pub fn follow(&mut self, registered: &Registered) {
+    pub fn update_registrations(&mut self, registered: &Registrations) {
         if self.seen == *registered {
             return;
         }
@@ -74,7 +74,7 @@
     }
 
     /// What this store is to do next.
-    pub fn next(
+    pub fn next_step(
         &mut self,
         stores: &StoreGroups,
         oneself: &Member,
@@ -84,7 +84,7 @@
         let position = self.seen.values().position(|store| store == oneself);
         let (Some(position), Some(first_at)) = (position, self.first_at) else {
             if now < self.register_at {
-                return FormationStep::Rest;
+                return FormationStep::Wait;
             }
             self.register_at = now + REGISTER_AGAIN;
             return FormationStep::Register;
@@ -93,12 +93,12 @@
         let due = quiet.min(first_at + FORM_WITHIN);
         let stagger = FORM_STAGGER.saturating_mul(u32::try_from(position).unwrap_or(u32::MAX));
         if now < due + stagger {
-            return FormationStep::Rest;
+            return FormationStep::Wait;
         }
         let registered: Vec<Member> = self.seen.values().cloned().collect();
         stores
             .form(&registered, tolerance)
-            .map_or(FormationStep::Rest, FormationStep::Form)
+            .map_or(FormationStep::Wait, FormationStep::Form)
     }
 }
 
--- a/crates/stageyoke-store/src/group.rs
+++ b/crates/stageyoke-store/src/group_client.rs
@@ -15,9 +15,9 @@
 use crate::client::{Answer, CallError, StoreClient};
 use crate::extension::Extensions;
 use crate::frame::Encoded;
-use crate::load::LoadBoard;
+use crate::load::LoadTracker;
 use crate::message::{ChainPart, Placement, Record, Reply, Request};
-use crate::quorum::{AppendTally, ChainStep, ChainTally, LedgerView};
+use crate::quorum::{AppendTally, ChainLookup, ChainTally, LedgerView};
 
 /// How long a member may take before others are asked as well.
 const HEDGE_AFTER: Duration = Duration::from_millis(40);
@@ -62,35 +62,35 @@
 #[derive(Clone, Debug)]
 pub enum ChainOutcome {
     /// The whole chain, newest first.
-    Whole(Vec<ChainPart>),
+    Complete(Vec<ChainPart>),
     /// No kept turn has this identifier.
     Absent(Text),
     /// Not enough members answered to be sure.
-    Unsure,
+    Unknown,
 }
 
 /// What the groups of one front share.
 #[derive(Clone)]
-pub struct Shared {
+pub struct GroupContext {
     /// Zone of the front.
     pub zone: Text,
     /// What may be lost at once.
     pub tolerance: Tolerance,
     /// What fronts have under way at replicas.
-    pub load: Rc<LoadBoard>,
+    pub load: Rc<LoadTracker>,
     /// What members tell of the directory counts for this one.
     pub directory: Option<Rc<Freshness>>,
     /// The newest store groups that a refusal has brought.
     pub newer: Rc<RefCell<Option<StoreGroups>>>,
 }
 
-impl Shared {
+impl GroupContext {
     /// For a front in this zone.
     pub fn new(zone: Text, tolerance: Tolerance) -> Self {
         Self {
             zone,
             tolerance,
-            load: Rc::new(LoadBoard::new(rand::random())),
+            load: Rc::new(LoadTracker::new(rand::random())),
             directory: None,
             newer: Rc::default(),
         }
@@ -98,17 +98,17 @@
 }
 
 /// Connections to all members of one group, following its member list.
-pub struct Group {
+pub struct GroupClient {
     number: GroupNumber,
-    shared: Shared,
+    shared: GroupContext,
     failing_since: Cell<Option<Instant>>,
     members: RefCell<Rc<Members>>,
     clients: RefCell<HashMap<Text, Rc<StoreClient>>>,
 }
 
-impl Group {
+impl GroupClient {
     /// A group without members yet.
-    pub fn new(number: GroupNumber, shared: Shared) -> Self {
+    pub fn new(number: GroupNumber, shared: GroupContext) -> Self {
         Self {
             number,
             shared,
@@ -130,7 +130,7 @@
 
     /// Takes a member list unless it is older than the one in use; connections
     /// of unchanged members stay.
-    pub fn follow(&self, members: &Members) {
+    pub fn update_members(&self, members: &Members) {
         let current = self.members();
         if members.version < current.version || *members == *current {
             return;
@@ -233,8 +233,8 @@
             record,
         });
         let extensions = Rc::new(Extensions {
-            rank_loads: self.shared.load.ranks.told(),
-            engine_paces: self.shared.load.engines.untold(self.number),
+            rank_loads: self.shared.load.ranks.report(),
+            engine_paces: self.shared.load.engines.take_unreported(self.number),
             ..Extensions::default()
         });
         for member in members.all() {
@@ -257,11 +257,11 @@
                 continue;
             };
             self.hear(&mut answer, reads_ledger, sent);
-            tally.take(&node, answer.reply);
-            if let Some(newer) = tally.take_newer() {
+            tally.add_reply(&node, answer.reply);
+            if let Some(newer) = tally.take_newer_stores() {
                 self.take_newer(newer);
             }
-            if tally.kept() {
+            if tally.is_stored() {
                 break;
             }
         }
@@ -281,22 +281,24 @@
             own.hear(*directory, sent);
         }
         if reads_ledger {
-            self.shared.load.hear(self.number, std::mem::take(others));
+            self.shared
+                .load
+                .apply_report(self.number, std::mem::take(others));
         }
     }
 
     fn hear_fields(&self, extensions: &Extensions) {
         if let Some(rank_loads) = &extensions.rank_loads {
-            self.shared.load.ranks.hear(rank_loads);
+            self.shared.load.ranks.apply_report(rank_loads);
         }
         if let Some(deviations) = &extensions.deviations {
-            self.shared.load.engines.hear(deviations);
+            self.shared.load.engines.apply_report(deviations);
         }
     }
 
     /// Whether any turn of a program has begun, by what some members know: the nearest,
     /// and others, as one may have missed the last records. `None` where none can tell.
-    pub async fn has_begun(&self, program: &Text, within: Duration) -> Option<bool> {
+    pub async fn has_started(&self, program: &Text, within: Duration) -> Option<bool> {
         let members = self.members();
         let mut order: Vec<&Member> = members.all().collect();
         order.sort_by_cached_key(|member| (member.zone != self.shared.zone, rand::random::<u32>()));
@@ -331,7 +333,7 @@
     }
 
     /// Tells all members something that is only a hint, without waiting.
-    pub fn tell(&self, request: &Request, within: Duration) {
+    pub fn send_hint(&self, request: &Request, within: Duration) {
         let request = Encoded::of(request);
         for member in self.members().all() {
             let Some(client) = self.client(&member.node) else {
@@ -348,7 +350,7 @@
     /// Follows its own list in newer store groups, and hands them on.
     fn take_newer(&self, newer: StoreGroups) {
         if let Some(members) = newer.group(self.number) {
-            self.follow(members);
+            self.update_members(members);
         }
         let mut known = self.shared.newer.borrow_mut();
         if known
@@ -360,10 +362,10 @@
     }
 
     /// What the group knows of one turn and those before it, nearest member first.
-    pub async fn chain_step(&self, turn: &Text, deadline: Instant) -> ChainStep {
+    pub async fn chain_step(&self, turn: &Text, deadline: Instant) -> ChainLookup {
         let members = self.members();
         let Some(mut tally) = ChainTally::new(&members, &self.shared.tolerance) else {
-            return ChainStep::Unsure;
+            return ChainLookup::Unknown;
         };
         let (answers, mut inbox) = unbounded_channel();
         let mut order: Vec<&Member> = members.all().collect();
@@ -379,14 +381,14 @@
                 self.ask_chain(member, members.version, turn, deadline, &answers);
             }
             if asked == answered {
-                return ChainStep::Unsure;
+                return ChainLookup::Unknown;
             }
             let hedge = (Instant::now() + HEDGE_AFTER).min(deadline);
             let answer = tokio::select! {
                 answer = inbox.recv() => answer,
                 () = tokio::time::sleep_until(hedge) => {
                     if Instant::now() >= deadline {
-                        return ChainStep::Unsure;
+                        return ChainLookup::Unknown;
                     }
                     if let Some(member) = waiting.next() {
                         asked += 1;
@@ -397,13 +399,13 @@
             };
             answered += 1;
             if let Some((node, Some(reply))) = answer {
-                tally.take(&node, reply);
+                tally.add_reply(&node, reply);
             }
-            if let Some(newer) = tally.take_newer() {
+            if let Some(newer) = tally.take_newer_stores() {
                 self.take_newer(newer);
             }
             let step = tally.step();
-            if step != ChainStep::Unsure {
+            if step != ChainLookup::Unknown {
                 return step;
             }
         }
--- a/crates/stageyoke-store/src/groups.rs
+++ b/crates/stageyoke-store/src/group_clients.rs
@@ -12,12 +12,12 @@
 use tokio::time::Instant;
 
 use crate::client::StoreClient;
-use crate::group::{ChainOutcome, Group, GroupError, Shared};
+use crate::group_client::{ChainOutcome, GroupClient, GroupContext, GroupError};
 use crate::keys::TurnKey;
-use crate::load::LoadBoard;
+use crate::load::LoadTracker;
 use crate::message::{ChainPart, Placement, Record, Request};
-use crate::owners::{self, Grant, Owners, Ruling};
-use crate::quorum::{ChainStep, LedgerView};
+use crate::quorum::{ChainLookup, LedgerView};
+use crate::quota_owners::{self, QuotaDecision, QuotaGrant, QuotaOwners};
 
 /// How long the group that a program belongs to may take before the others are
 /// asked for a turn that the program goes on from: another program may have
@@ -28,11 +28,11 @@
 const TELL_WITHIN: Duration = Duration::from_millis(500);
 
 /// Connections to the store groups, following their map.
-pub struct Groups {
-    shared: Shared,
+pub struct GroupClients {
+    shared: GroupContext,
     stores: RefCell<Rc<StoreGroups>>,
-    groups: RefCell<Vec<Rc<Group>>>,
-    owners: Owners,
+    groups: RefCell<Vec<Rc<GroupClient>>>,
+    owners: QuotaOwners,
     /// Since when records find no group, as the groups are not known.
     unknown_since: Cell<Option<Instant>>,
 }
@@ -40,15 +40,15 @@
 /// What one group said of a turn.
 struct Answer {
     own: bool,
-    step: ChainStep,
+    step: ChainLookup,
 }
 
-impl Groups {
+impl GroupClients {
     /// No groups yet, for a front in this zone.
     pub fn new(zone: Text, tolerance: Tolerance) -> Self {
         Self {
-            owners: Owners::tolerating(tolerance.clone()),
-            shared: Shared::new(zone, tolerance),
+            owners: QuotaOwners::with_tolerance(tolerance.clone()),
+            shared: GroupContext::new(zone, tolerance),
             stores: RefCell::default(),
             groups: RefCell::default(),
             unknown_since: Cell::new(None),
@@ -61,8 +61,8 @@
     }
 
     /// The same; what stores tell of the directory counts for this one.
-    pub fn confirming(self, directory: Rc<Freshness>) -> Self {
-        let shared = Shared {
+    pub fn with_directory_freshness(self, directory: Rc<Freshness>) -> Self {
+        let shared = GroupContext {
             directory: Some(directory),
             ..self.shared
         };
@@ -70,7 +70,7 @@
     }
 
     /// What fronts have under way at replicas.
-    pub fn load(&self) -> &Rc<LoadBoard> {
+    pub fn load(&self) -> &Rc<LoadTracker> {
         &self.shared.load
     }
 
@@ -80,22 +80,22 @@
     }
 
     /// Takes the store groups unless they are older than those in use.
-    pub fn follow(&self, stores: &Rc<StoreGroups>) {
+    pub fn update_stores(&self, stores: &Rc<StoreGroups>) {
         if stores.version < self.stores().version {
             return;
         }
         let mut groups = self.groups.borrow_mut();
         for (number, members) in stores.numbered() {
             if groups.len() <= number.0 as usize {
-                groups.push(Rc::new(Group::new(number, self.shared.clone())));
+                groups.push(Rc::new(GroupClient::new(number, self.shared.clone())));
             }
-            groups[number.0 as usize].follow(members);
+            groups[number.0 as usize].update_members(members);
         }
         if !groups.is_empty() {
             self.unknown_since.set(None);
         }
         drop(groups);
-        self.owners.follow(stores);
+        self.owners.update_stores(stores);
         *self.stores.borrow_mut() = stores.clone();
     }
 
@@ -106,14 +106,14 @@
 
     /// Asks the stores that count a tenant's requests for one more; `None` where
     /// none of them answers.
-    pub async fn ask_quota(&self, question: Question) -> Option<Ruling> {
+    pub async fn request_quota(&self, question: Question) -> Option<QuotaDecision> {
         let client = |node: &Text| self.client(node);
-        self.owners.ask(question, client).await
+        self.owners.request_decision(question, client).await
     }
 
     /// Gives back a request that an owner has granted and that was not run.
-    pub fn give_back(&self, grant: &Grant) {
-        owners::give_back(grant, self.client(&grant.owner));
+    pub fn refund(&self, grant: &QuotaGrant) {
+        quota_owners::refund(grant, self.client(&grant.owner));
     }
 
     /// Takes what refusals have brought; true if there was any.
@@ -121,7 +121,7 @@
         let newer = self.shared.newer.borrow_mut().take();
         match newer {
             Some(newer) => {
-                self.follow(&Rc::new(newer));
+                self.update_stores(&Rc::new(newer));
                 true
             }
             None => false,
@@ -130,7 +130,7 @@
 
     /// Connections to some stores: one of the front's zone, as its way is short,
     /// and others at random, as what ails one may ail its whole zone.
-    pub fn clients_to_ask(&self, most: usize) -> Vec<Rc<StoreClient>> {
+    pub fn sample_clients(&self, most: usize) -> Vec<Rc<StoreClient>> {
         let stores = self.stores();
         let mut members: Vec<&Member> = stores.members().collect();
         members.sort_by_cached_key(|_| rand::random::<u32>());
@@ -146,7 +146,7 @@
 
     /// The group that keeps what a program does. A turn that names no program
     /// is its own.
-    pub fn group_of(&self, program: &str, turn: &str) -> Option<Rc<Group>> {
+    pub fn group_of_program(&self, program: &str, turn: &str) -> Option<Rc<GroupClient>> {
         let own = || self.number_of(turn);
         let GroupNumber(number) = self.group_number(program).or_else(own)?;
         self.groups.borrow().get(number as usize).cloned()
@@ -165,12 +165,12 @@
         self.stores.borrow().group_of_hash(hash)
     }
 
-    fn group_of_record(&self, record: &Record) -> Option<Rc<Group>> {
+    fn group_of_record(&self, record: &Record) -> Option<Rc<GroupClient>> {
         match record {
             Record::Reserve { program, turn, .. } | Record::Settle { program, turn, .. } => {
-                self.group_of(program, turn)
+                self.group_of_program(program, turn)
             }
-            Record::Turn(record) => self.group_of(&record.program, &record.turn),
+            Record::Turn(record) => self.group_of_program(&record.program, &record.turn),
             Record::Clock { .. } => None,
         }
     }
@@ -178,7 +178,7 @@
     /// How long a program's group has reached no quorum; `None` while it
     /// serves.
     pub fn failing_for(&self, program: &str, turn: &str) -> Option<Duration> {
-        self.group_of(program, turn)?.failing_for()
+        self.group_of_program(program, turn)?.failing_for()
     }
 
     /// How long no group at all has served; `None` while one does.
@@ -193,7 +193,7 @@
     }
 
     /// Groups that reach no quorum.
-    pub fn failing(&self) -> Vec<Rc<Group>> {
+    pub fn failing_groups(&self) -> Vec<Rc<GroupClient>> {
         let groups = self.groups.borrow();
         let failing = groups.iter().filter(|group| group.failing_for().is_some());
         failing.cloned().collect()
@@ -202,11 +202,11 @@
     /// Writes a record to the members of its program's group; done once a write
     /// quorum has it on disk. A reservation gives the program's ledger.
     pub async fn append(&self, record: Record, within: Duration) -> Result<LedgerView, GroupError> {
-        self.append_placed(record, None, within).await
+        self.append_with_placement(record, None, within).await
     }
 
     /// The same for the reservation of a turn that is to run there.
-    pub async fn append_placed(
+    pub async fn append_with_placement(
         &self,
         record: Record,
         placement: Option<Placement>,
@@ -223,13 +223,13 @@
     }
 
     /// Whether any turn of a program has begun; `None` where no store can tell.
-    pub async fn has_begun(&self, program: &Text, within: Duration) -> Option<bool> {
-        let group = self.group_of(program, "")?;
-        group.has_begun(program, within).await
+    pub async fn has_started(&self, program: &Text, within: Duration) -> Option<bool> {
+        let group = self.group_of_program(program, "")?;
+        group.has_started(program, within).await
     }
 
     /// Tells a program's group that its turn runs there after all.
-    pub fn tell_placed(&self, program: &str, turn: &str, placement: Placement) {
+    pub fn report_placement(&self, program: &str, turn: &str, placement: Placement) {
         let TurnKey(key) = TurnKey::of(turn);
         let request = Request::Placed {
             turn: key,
@@ -239,14 +239,14 @@
     }
 
     /// Tells a program's group that its turn is over.
-    pub fn tell_ended(&self, program: &str, turn: &str) {
+    pub fn report_turn_end(&self, program: &str, turn: &str) {
         let TurnKey(key) = TurnKey::of(turn);
         self.tell(program, turn, &Request::Ended { turn: key });
     }
 
     fn tell(&self, program: &str, turn: &str, request: &Request) {
-        if let Some(group) = self.group_of(program, turn) {
-            group.tell(request, TELL_WITHIN);
+        if let Some(group) = self.group_of_program(program, turn) {
+            group.send_hint(request, TELL_WITHIN);
         }
     }
 
@@ -269,29 +269,29 @@
         let mut next = turn.clone();
         loop {
             let mut step = self.chain_step(program, &next, deadline).await;
-            if step == ChainStep::Unsure && self.follow_newer() {
+            if step == ChainLookup::Unknown && self.follow_newer() {
                 step = self.chain_step(program, &next, deadline).await;
             }
             match step {
-                ChainStep::Parts { found, missing } => {
+                ChainLookup::Parts { found, missing } => {
                     parts.extend(found);
                     if missing.is_empty() {
-                        return ChainOutcome::Whole(parts);
+                        return ChainOutcome::Complete(parts);
                     }
                     next = missing;
                 }
-                ChainStep::Absent => return ChainOutcome::Absent(next),
-                ChainStep::Unsure => return ChainOutcome::Unsure,
+                ChainLookup::Absent => return ChainOutcome::Absent(next),
+                ChainLookup::Unknown => return ChainOutcome::Unknown,
             }
         }
     }
 
     /// Absent only where every group is sure of it.
-    async fn chain_step(&self, program: &str, turn: &Text, deadline: Instant) -> ChainStep {
-        let Some(own) = self.group_of(program, turn) else {
-            return ChainStep::Unsure;
+    async fn chain_step(&self, program: &str, turn: &Text, deadline: Instant) -> ChainLookup {
+        let Some(own) = self.group_of_program(program, turn) else {
+            return ChainLookup::Unknown;
         };
-        let mut others: Vec<Rc<Group>> = self.groups.borrow().clone();
+        let mut others: Vec<Rc<GroupClient>> = self.groups.borrow().clone();
         others.retain(|group| !Rc::ptr_eq(group, &own));
         let (answers, mut inbox) = unbounded_channel();
         ask(own, true, turn, deadline, &answers);
@@ -305,12 +305,12 @@
             };
             let own_missed_it = match answer {
                 Some(Answer {
-                    step: found @ ChainStep::Parts { .. },
+                    step: found @ ChainLookup::Parts { .. },
                     ..
                 }) => return found,
                 Some(Answer { own, step }) => {
                     pending -= 1;
-                    sure &= step == ChainStep::Absent;
+                    sure &= step == ChainLookup::Absent;
                     own
                 }
                 None => true,
@@ -323,14 +323,14 @@
             }
         }
         match sure {
-            true => ChainStep::Absent,
-            false => ChainStep::Unsure,
+            true => ChainLookup::Absent,
+            false => ChainLookup::Unknown,
         }
     }
 }
 
 fn ask(
-    group: Rc<Group>,
+    group: Rc<GroupClient>,
     own: bool,
     turn: &Text,
     deadline: Instant,
--- a/crates/stageyoke-store/src/keeper.rs
+++ b/crates/stageyoke-store/src/keeper.rs
@@ -26,10 +26,10 @@
 use crate::journal::{Appended, Journal};
 use crate::limits::StoreLimits;
 use crate::load::{LoadReports, PlacedTurns};
+use crate::membership_state::MembershipState;
 use crate::message::{JournalPosition, Record, RecordDigest, Refusal, SeenItem};
 use crate::reader::RecordReader;
 use crate::segment::{DataFolder, Recovered, SegmentUse};
-use crate::standing::Standing;
 use crate::state::State;
 
 /// A record on its way to the disk, and who waits for it.
@@ -56,7 +56,7 @@
     segments: RefCell<VecDeque<SegmentUse>>,
     next_ticket: Cell<u64>,
     disk_refuses: Cell<bool>,
-    standing: RefCell<Standing>,
+    standing: RefCell<MembershipState>,
     /// Version of the store groups that the disk held at the start.
     stores_recovered: u64,
     heard: Heard,
@@ -90,7 +90,7 @@
         state.keep_recent(limits.recent_bytes);
         let stores = recovered.stores.unwrap_or_default();
         let stores_recovered = stores.version;
-        let standing = Standing::new(node.clone(), stores, recovered.completeness);
+        let standing = MembershipState::new(node.clone(), stores, recovered.completeness);
         let keeper = Self {
             node,
             disk: recovered.disk,
@@ -166,7 +166,7 @@
     /// Whether this store holds everything that it ever acknowledged as a
     /// member of its group; before there are groups, of any.
     pub fn complete(&self) -> bool {
-        self.standing.borrow().complete()
+        self.standing.borrow().is_complete()
     }
 
     /// Declares the store complete for its group, for this life and the next.
@@ -209,19 +209,19 @@
     /// Takes newer store groups.
     pub fn set_stores(&self, stores: Rc<StoreGroups>) {
         let before = self.members();
-        if !self.standing.borrow_mut().follow(stores) {
+        if !self.standing.borrow_mut().update_stores(stores) {
             return;
         }
         self.journal.save_stores(&self.stores());
         self.follow_members(&before);
-        let mark = self.standing.borrow_mut().settle_completeness();
+        let mark = self.standing.borrow_mut().resolve_completeness();
         self.mark_complete(mark);
     }
 
     /// A store that is no member of any group fills up for this one.
     pub fn fill_up_for(&self, group: Option<GroupNumber>) {
         let before = self.members();
-        self.standing.borrow_mut().fill_up_for(group);
+        self.standing.borrow_mut().backfill_for(group);
         self.follow_members(&before);
     }
 
--- a/crates/stageyoke-store/src/keeper/answers.rs
+++ b/crates/stageyoke-store/src/keeper/answers.rs
@@ -9,12 +9,12 @@
 use super::Keeper;
 use crate::extension::Extensions;
 use crate::keys::TurnKey;
+use crate::membership_state::PeerStatus;
 use crate::message::{
     ChainPart, JournalPosition, OthersReport, Placement, QuotaAnswer, QuotaQuestion, Record,
     RecordDigest, Refusal, Reply, Request, TurnRecord,
 };
 use crate::relay;
-use crate::standing::PeerStanding;
 use crate::state::ChainStep;
 
 /// Time for a read of the configuration on behalf of fronts: a connection that
@@ -38,13 +38,13 @@
     pub fn hear_fields(&self, request: &Request, fields: Extensions) -> AnswerFields {
         let tells_paces = fields.engine_paces.is_some();
         if let Some(paces) = &fields.engine_paces {
-            self.loads.engines.take(paces);
+            self.loads.engines.add(paces);
         }
         let tells_ranks = fields.rank_loads.is_some() || fields.program.is_some();
         let front = match request {
             Request::Append { load, record, .. } => {
                 if let Some(rank_loads) = fields.rank_loads {
-                    self.loads.ranks.take(load.front, rank_loads);
+                    self.loads.ranks.update(load.front, rank_loads);
                 }
                 matches!(record, Record::Reserve { .. }).then_some(load.front)
             }
@@ -68,8 +68,8 @@
         let ranks = answer.ranks_for;
         let paces = answer.paces_for;
         Extensions {
-            rank_loads: ranks.map(|front| self.loads.ranks.of_others(front)),
-            deviations: paces.and_then(|front| self.loads.engines.deviations(front)),
+            rank_loads: ranks.map(|front| self.loads.ranks.report_excluding(front)),
+            deviations: paces.and_then(|front| self.loads.engines.deviations_for(front)),
             begun: answer.begun,
             ..Extensions::default()
         }
@@ -86,12 +86,12 @@
                 record,
             } => {
                 let front = load.front;
-                self.loads.take(load);
+                self.loads.update(load);
                 self.count_turn(&record, placement);
                 self.append(group, members_version, front, record).await
             }
             Request::Placed { turn, placement } => {
-                self.placed.borrow_mut().begin(turn, placement);
+                self.placed.borrow_mut().start(turn, placement);
                 Reply::Pong
             }
             Request::Ended { turn } => {
@@ -155,9 +155,9 @@
         reply
     }
 
-    fn standing_for_peer(&self, group: GroupNumber, members_version: u64) -> PeerStanding {
-        let standing = self.standing.borrow().for_peer(group, members_version);
-        PeerStanding {
+    fn standing_for_peer(&self, group: GroupNumber, members_version: u64) -> PeerStatus {
+        let standing = self.standing.borrow().peer_status(group, members_version);
+        PeerStatus {
             complete: standing.complete && self.stores_saved(),
             ..standing
         }
@@ -185,7 +185,7 @@
     async fn chain(&self, group: GroupNumber, members_version: u64, turn: &Text) -> Reply {
         let complete = {
             let standing = self.standing.borrow();
-            standing.vouches_for(group, members_version)
+            standing.is_authoritative_for(group, members_version)
         };
         let refusal = self.standing.borrow().refusal(group, members_version);
         let steps = self.state.borrow().chain(turn);
@@ -265,14 +265,14 @@
             Some((program, TurnKey(turn))) => (
                 self.state.borrow().ledger_entries(&program),
                 OthersReport {
-                    placed: self.placed.borrow_mut().others(turn),
-                    ..self.loads.of_others(front)
+                    placed: self.placed.borrow_mut().counts_excluding(turn),
+                    ..self.loads.report_excluding(front)
                 },
             ),
             None => Default::default(),
         };
         Reply::Kept {
-            complete: self.standing.borrow().complete_for(group),
+            complete: self.standing.borrow().is_complete_for(group),
             ledger,
             others,
             directory: self.directory.mark(),
@@ -303,7 +303,7 @@
             known: verdict != Verdict::Unknown,
             granted: verdict == Verdict::Granted,
             retry_after_milliseconds: u32::try_from(after.as_millis()).unwrap_or(u32::MAX),
-            fronts: u16::try_from(self.loads.fronts()).unwrap_or(u16::MAX),
+            fronts: u16::try_from(self.loads.reporting_fronts()).unwrap_or(u16::MAX),
             receipt: receipt.unwrap_or_default().into(),
         })
     }
@@ -320,7 +320,7 @@
         let mut placed = self.placed.borrow_mut();
         match (record, placement) {
             (Record::Reserve { turn, .. }, Some(placement)) => {
-                placed.begin(TurnKey::of(turn).0, placement);
+                placed.start(TurnKey::of(turn).0, placement);
             }
             (Record::Settle { turn, .. }, _) => placed.end(TurnKey::of(turn).0),
             (Record::Turn(record), _) => placed.end(TurnKey::of(&record.turn).0),
@@ -332,7 +332,7 @@
     /// those that have begun, so that these can still be kept.
     fn no_room_for(&self, record: &Record) -> Option<Refusal> {
         let most = match record {
-            Record::Reserve { .. } => self.limits.reserve_below(),
+            Record::Reserve { .. } => self.limits.reservation_limit_bytes(),
             Record::Settle { .. } | Record::Turn(_) => self.limits.state_bytes,
             // A store's own; no caller may send it.
             Record::Clock { .. } => return Some(Refusal::NotAMember),
--- a/crates/stageyoke-store/src/keeper/heard.rs
+++ b/crates/stageyoke-store/src/keeper/heard.rs
@@ -93,7 +93,7 @@
 
     /// Notes by which version a caller goes.
     pub(super) fn note_version(&self, group: GroupNumber, members_version: u64) {
-        if self.standing.borrow().is_behind(group, members_version) {
+        if self.standing.borrow().is_lagging(group, members_version) {
             self.heard.newer_list.notify_one();
         }
     }
--- a/crates/stageyoke-store/src/limits.rs
+++ b/crates/stageyoke-store/src/limits.rs
@@ -20,7 +20,7 @@
 
 /// Time from the start of a lost store's successor until the group must bear the next
 /// loss, where the settings name none: the shortest among the deployments.
-pub const DEFAULT_CATCH_UP: Duration = Duration::from_secs(4);
+pub const DEFAULT_CATCH_UP_TIME: Duration = Duration::from_secs(4);
 
 /// Bounds of one store.
 #[derive(Clone, Copy, Debug)]
@@ -37,7 +37,7 @@
 
 impl StoreLimits {
     /// Bounds for a machine with so much memory.
-    pub fn within(memory_bytes: u64) -> Self {
+    pub fn for_memory(memory_bytes: u64) -> Self {
         let part = |part: f64| (memory_bytes as f64 * part) as usize;
         Self {
             state_bytes: part(STATE_PART),
@@ -48,7 +48,7 @@
     }
 
     /// The same with other segments.
-    pub fn with_segments(self, segment_bytes: u64) -> Self {
+    pub fn with_segment_bytes(self, segment_bytes: u64) -> Self {
         Self {
             segment_bytes,
             ..self
@@ -56,13 +56,13 @@
     }
 
     /// Estimated bytes of the index beyond which no new turn begins.
-    pub fn reserve_below(&self) -> usize {
+    pub fn reservation_limit_bytes(&self) -> usize {
         (self.state_bytes as f64 * RESERVE_PART) as usize
     }
 }
 
 impl Default for StoreLimits {
     fn default() -> Self {
-        Self::within(DEFAULT_MEMORY_BYTES)
+        Self::for_memory(DEFAULT_MEMORY_BYTES)
     }
 }
--- a/crates/stageyoke-store/src/load.rs
+++ b/crates/stageyoke-store/src/load.rs
@@ -11,20 +11,20 @@
 use stageyoke_types::List;
 use tokio::time::Instant;
 
-use crate::engine_pace::{EngineBoard, EngineReports};
+use crate::engine_latency::{EngineReports, EngineTracker};
 use crate::message::{LoadEntry, LoadReport, OthersReport, Placement, Suspicion};
-use crate::pace::{HeardPaces, Paces, UntoldPaces};
-use crate::rank_load::{RankBoard, RankReports};
+use crate::rank_load::{RankReports, RankTracker};
+use crate::replica_latency::{LatencyStats, ReceivedSlowdowns, UnreportedLatencies};
 
 /// Replicas in one report.
-pub const MAX_ENTRIES: usize = 64;
+pub const MAX_LOAD_ENTRIES: usize = 64;
 /// Suspected replicas in one report.
-pub const MAX_SUSPECTS: usize = 32;
+pub const MAX_SUSPECTED_REPLICAS: usize = 32;
 /// A report counts for this long.
-pub const REPORT_LIFE: Duration = Duration::from_millis(500);
+pub const LOAD_REPORT_TTL: Duration = Duration::from_millis(500);
 /// What was heard of failing replicas counts for this long: a front that sends
 /// few records hears seldom, and a fault lasts longer than a moment's load.
-pub const SUSPICION_LIFE: Duration = Duration::from_millis(1200);
+pub const SUSPICION_TTL: Duration = Duration::from_millis(1200);
 
 /// What a group's store told of the group's turns counts for this long: a turn's
 /// next tries go by it too.
@@ -36,18 +36,18 @@
 
 /// A front's own counts and what it last heard of all others.
 #[derive(Debug)]
-pub struct LoadBoard {
+pub struct LoadTracker {
     front: u32,
     own: RefCell<HashMap<u32, u16>>,
     suspects: RefCell<HashMap<u32, Instant>>,
     others: RefCell<Heard>,
     placed: RefCell<HashMap<GroupNumber, Placed>>,
-    untold_paces: UntoldPaces,
-    heard_paces: HeardPaces,
+    untold_paces: UnreportedLatencies,
+    heard_paces: ReceivedSlowdowns,
     /// Turns at engines by rank.
-    pub ranks: RankBoard,
+    pub ranks: RankTracker,
     /// How long engines take.
-    pub engines: EngineBoard,
+    pub engines: EngineTracker,
 }
 
 /// A group's turns under way by replica, as one of its stores told.
@@ -70,7 +70,7 @@
     }
 }
 
-impl LoadBoard {
+impl LoadTracker {
     /// An empty board of the front with this number.
     pub fn new(front: u32) -> Self {
         Self {
@@ -79,10 +79,10 @@
             suspects: RefCell::default(),
             others: RefCell::default(),
             placed: RefCell::default(),
-            untold_paces: UntoldPaces::default(),
-            heard_paces: HeardPaces::default(),
-            ranks: RankBoard::default(),
-            engines: EngineBoard::default(),
+            untold_paces: UnreportedLatencies::default(),
+            heard_paces: ReceivedSlowdowns::default(),
+            ranks: RankTracker::default(),
+            engines: EngineTracker::default(),
         }
     }
 
@@ -92,22 +92,22 @@
     }
 
     /// A plain answer of a replica took so many times as long as such answers do.
-    pub fn note_pace(&self, replica: u32, ratio: f64) {
-        self.untold_paces.note(replica, ratio);
+    pub fn record_latency_ratio(&self, replica: u32, ratio: f64) {
+        self.untold_paces.record(replica, ratio);
     }
 
     /// How many times as long as others a replica takes, by what all fronts see.
-    pub fn slowness(&self, replica: u32) -> f64 {
-        self.heard_paces.slowness(replica)
+    pub fn slowdown(&self, replica: u32) -> f64 {
+        self.heard_paces.slowdown(replica)
     }
 
     /// Counts a request as begun at a replica.
-    pub fn begin(&self, replica: u32) {
+    pub fn start_request(&self, replica: u32) {
         *self.own.borrow_mut().entry(replica).or_default() += 1;
     }
 
     /// Counts a request as ended at a replica.
-    pub fn end(&self, replica: u32) {
+    pub fn end_request(&self, replica: u32) {
         count_down(&mut self.own.borrow_mut(), replica);
     }
 
@@ -138,14 +138,18 @@
         LoadReport {
             front: self.front,
             entries: List(entries),
-            suspects: suspects.keys().copied().take(MAX_SUSPECTS).collect(),
+            suspects: suspects
+                .keys()
+                .copied()
+                .take(MAX_SUSPECTED_REPLICAS)
+                .collect(),
             paces: self.untold_paces.take(group),
         }
     }
 
     /// Takes what a store of this group knows of all other fronts.
-    pub fn hear(&self, group: GroupNumber, others: OthersReport) {
-        self.heard_paces.hear(&others.slow);
+    pub fn apply_report(&self, group: GroupNumber, others: OthersReport) {
+        self.heard_paces.apply_report(&others.slow);
         let counts = others.placed.iter();
         let counts = counts.map(|entry| (entry.replica, entry.under_way));
         let placed = Placed {
@@ -163,9 +167,9 @@
     }
 
     /// Other fronts that a replica failed of late, as far as known.
-    pub fn suspected_by(&self, replica: u32) -> u16 {
+    pub fn suspecting_fronts(&self, replica: u32) -> u16 {
         let others = self.others.borrow();
-        match others.counts(SUSPICION_LIFE) {
+        match others.counts(SUSPICION_TTL) {
             true => others.suspecting.get(&replica).copied().unwrap_or_default(),
             false => 0,
         }
@@ -173,7 +177,7 @@
 
     /// Turns of a group under way at a replica, if one of the group's stores has
     /// told of them just now.
-    pub fn placed(&self, group: GroupNumber, replica: u32) -> Option<u32> {
+    pub fn placed_turns(&self, group: GroupNumber, replica: u32) -> Option<u32> {
         let placed = self.placed.borrow();
         let heard = placed.get(&group)?;
         let counts = heard.at.elapsed() < PLACED_LIFE;
@@ -181,15 +185,15 @@
     }
 
     /// Requests of this front under way at a replica.
-    pub fn own(&self, replica: u32) -> u32 {
+    pub fn local_in_flight(&self, replica: u32) -> u32 {
         u32::from(self.own.borrow().get(&replica).copied().unwrap_or_default())
     }
 
     /// Requests under way at a replica, as far as known.
-    pub fn under_way(&self, replica: u32) -> u32 {
+    pub fn in_flight(&self, replica: u32) -> u32 {
         let own = self.own.borrow().get(&replica).copied().unwrap_or_default();
         let others = self.others.borrow();
-        let others = match others.counts(REPORT_LIFE) {
+        let others = match others.counts(LOAD_REPORT_TTL) {
             true => others.under_way.get(&replica).copied().unwrap_or_default(),
             false => 0,
         };
@@ -215,27 +219,27 @@
     /// How long engines take.
     pub engines: EngineReports,
     fronts: RefCell<HashMap<u32, (LoadReport, Instant)>>,
-    paces: RefCell<Paces>,
+    paces: RefCell<LatencyStats>,
 }
 
 impl LoadReports {
     /// Takes a front's report in place of its former one.
-    pub fn take(&self, report: LoadReport) {
-        self.paces.borrow_mut().take(&report.paces);
+    pub fn update(&self, report: LoadReport) {
+        self.paces.borrow_mut().add(&report.paces);
         let heard = (report, Instant::now());
         self.fronts.borrow_mut().insert(heard.0.front, heard);
     }
 
     /// Fronts that have reported of late.
-    pub fn fronts(&self) -> usize {
+    pub fn reporting_fronts(&self) -> usize {
         self.fronts.borrow().len()
     }
 
     /// What all fronts but one have seen, for the busiest replicas and those
     /// that most fronts report as failing.
-    pub fn of_others(&self, front: u32) -> OthersReport {
+    pub fn report_excluding(&self, front: u32) -> OthersReport {
         let mut fronts = self.fronts.borrow_mut();
-        fronts.retain(|_, (_, heard)| heard.elapsed() < SUSPICION_LIFE);
+        fronts.retain(|_, (_, heard)| heard.elapsed() < SUSPICION_TTL);
         let mut under_way: HashMap<u32, u16> = HashMap::new();
         let mut suspecting: HashMap<u32, u16> = HashMap::new();
         let others = fronts.iter().filter(|(other, _)| **other != front);
@@ -243,7 +247,7 @@
             for replica in report.suspects.iter() {
                 *suspecting.entry(*replica).or_default() += 1;
             }
-            if heard.elapsed() >= REPORT_LIFE {
+            if heard.elapsed() >= LOAD_REPORT_TTL {
                 continue;
             }
             for entry in report.entries.iter() {
@@ -260,7 +264,7 @@
             entries: List(entries),
             suspects: most_suspected(suspecting),
             placed: List::default(),
-            slow: self.paces.borrow_mut().slow(),
+            slow: self.paces.borrow_mut().slow_replicas(),
         }
     }
 }
@@ -271,15 +275,15 @@
         .map(|(replica, fronts)| Suspicion { replica, fronts })
         .collect();
     suspects.sort_by_key(|suspicion| std::cmp::Reverse(suspicion.fronts));
-    suspects.truncate(MAX_SUSPECTS);
+    suspects.truncate(MAX_SUSPECTED_REPLICAS);
     List(suspects)
 }
 
 /// Messages stay small with thousands of replicas: only the busiest matter.
 fn keep_busiest(entries: &mut Vec<LoadEntry>) {
-    if entries.len() > MAX_ENTRIES {
+    if entries.len() > MAX_LOAD_ENTRIES {
         entries.sort_by_key(|entry| std::cmp::Reverse(entry.under_way));
-        entries.truncate(MAX_ENTRIES);
+        entries.truncate(MAX_LOAD_ENTRIES);
     }
 }
 
@@ -301,7 +305,7 @@
 
 impl PlacedTurns {
     /// A turn is to run there; it may have been counted elsewhere before.
-    pub fn begin(&mut self, turn: u64, placement: Placement) {
+    pub fn start(&mut self, turn: u64, placement: Placement) {
         self.end(turn);
         if self.turns.len() >= MOST_PLACED {
             return;
@@ -332,7 +336,7 @@
     }
 
     /// Turns that run now, without this one, by replica.
-    pub fn others(&mut self, turn: u64) -> List<LoadEntry> {
+    pub fn counts_excluding(&mut self, turn: u64) -> List<LoadEntry> {
         self.sweep();
         let own = self.turns.get(&turn).map(|running| running.replica);
         let entries = self.counts.iter().map(|(replica, count)| LoadEntry {
--- a/crates/stageyoke-store/src/membership.rs
+++ b/crates/stageyoke-store/src/membership.rs
@@ -15,21 +15,21 @@
 use stageyoke_types::{List, Text};
 
 use crate::message::JournalPosition;
-use crate::waiting::Waiting;
+use crate::wait_reason::WaitReason;
 
 /// A member that nobody hears for this long leaves the list if no successor has
 /// taken its place: those that are left can be healed with fewer of them alive.
-pub const REMOVE_AFTER: Duration = Duration::from_secs(6);
+pub const SILENT_REMOVAL_TIMEOUT: Duration = Duration::from_secs(6);
 /// How long the list must have stood before a member too many leaves: whoever
 /// was away may be so again.
-pub const SURPLUS_AFTER: Duration = Duration::from_secs(10);
+pub const SURPLUS_LEAVE_DELAY: Duration = Duration::from_secs(10);
 /// The first living member of the list makes the next step; the others after
 /// this time, if it has not. Saves proposals that lose against one another.
-pub const OTHERS_STEP_AFTER: Duration = Duration::from_secs(1);
+pub const STEP_TAKEOVER_DELAY: Duration = Duration::from_secs(1);
 
 /// This store, as it should stand in the list.
 #[derive(Clone, Debug)]
-pub struct Oneself {
+pub struct LocalMember {
     /// Its entry as an active member.
     pub entry: Member,
     /// Whether the disk holds everything that it acknowledged, or, for a new
@@ -42,31 +42,31 @@
     /// Whether it is a member too many, and should become a spare.
     pub surplus: bool,
     /// Whether the group takes one more member.
-    pub room: bool,
+    pub has_room: bool,
     /// Whether a store that is no member compares with this one: it is about to take a
     /// place.
-    pub successor_near: bool,
+    pub successor_pending: bool,
     /// Whether this store holds what the fence of the change under way held.
     pub fenced: bool,
     /// How long the current list has been in use here.
-    pub list_age: Duration,
+    pub member_list_age: Duration,
     /// A member that is silent for so long may be replaced.
-    pub replace_after: Duration,
+    pub replacement_timeout: Duration,
 }
 
 /// Where a store's journal ended when it was first seen to hold all that must
 /// last under a version of the member list. A peer that holds the journal up to
 /// there holds all of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SharedEnd {
+pub struct FencedJournalEnd {
     members_version: u64,
     end: JournalPosition,
 }
 
-impl SharedEnd {
+impl FencedJournalEnd {
     /// The end that was known, if it is this list's; else the journal's end
     /// now, provided that this store is fenced.
-    pub fn under(
+    pub fn for_members(
         members: &Members,
         known: Option<Self>,
         fenced: bool,
@@ -83,7 +83,7 @@
     }
 
     /// Whether a peer that holds the journal up to there holds all of it.
-    pub fn held_by(&self, held: JournalPosition) -> bool {
+    pub fn is_covered_by(&self, held: JournalPosition) -> bool {
         held.journal == self.end.journal && held.next >= self.end.next
     }
 }
@@ -91,13 +91,17 @@
 /// Whether no older list can be used any more: this store holds what so many
 /// members held, complete, when they went by the current list already, that every
 /// quorum before is met.
-pub fn fenced(members: &Members, tolerance: &Tolerance, in_step: impl Fn(&Member) -> bool) -> bool {
+pub fn is_fenced(
+    members: &Members,
+    tolerance: &Tolerance,
+    in_step: impl Fn(&Member) -> bool,
+) -> bool {
     members.meets_every_quorum(tolerance, in_step)
 }
 
 /// Whether so many members have been caught up with that no kept record can
 /// stand only elsewhere.
-pub fn caught_up_with_group(
+pub fn is_caught_up_with_group(
     members: &Members,
     tolerance: &Tolerance,
     caught_up_with: impl Fn(&str) -> bool,
@@ -119,29 +123,29 @@
 
 /// A step.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum MembershipStep {
     /// Nothing to do before this.
-    Rest(Waiting),
+    Wait(WaitReason),
     /// Put this list in place of the current one.
     Change(Members),
     /// Begin to leave: a retirement, if there is one, is under way.
-    BeginLeaving(Members),
+    StartLeaving(Members),
 }
 
 /// Whether no record can have been kept by anybody: a group too small for a
 /// write quorum has never had one, since no list shrinks below it. Every disk is
 /// complete then, whatever became of it.
-pub fn nothing_kept_yet(members: &Members, tolerance: &Tolerance) -> bool {
+pub fn has_never_stored(members: &Members, tolerance: &Tolerance) -> bool {
     members.quorums(tolerance).is_none()
 }
 
 /// The next step.
 pub fn decide(
     members: &Members,
-    oneself: &Oneself,
+    oneself: &LocalMember,
     peers: &[PeerHealth],
     tolerance: &Tolerance,
-) -> Step {
+) -> MembershipStep {
     let view = View {
         members,
         oneself,
@@ -151,7 +155,7 @@
     match members.get(&oneself.entry.node) {
         None => view.join(),
         Some(current) if *current != oneself.entry => {
-            Step::Change(members.with(oneself.entry.clone()))
+            MembershipStep::Change(members.with(oneself.entry.clone()))
         }
         Some(_) if members.settled() => view.begin(),
         Some(_) => view.conclude(),
@@ -161,7 +165,7 @@
 /// What a step is decided by.
 struct View<'a> {
     members: &'a Members,
-    oneself: &'a Oneself,
+    oneself: &'a LocalMember,
     peers: &'a [PeerHealth],
     tolerance: &'a Tolerance,
 }
@@ -169,39 +173,39 @@
 impl View<'_> {
     /// A store that is no member takes the place of one that is silent, or one
     /// more where there is room.
-    fn join(&self) -> Step {
+    fn join(&self) -> MembershipStep {
         let (members, oneself) = (self.members, self.oneself);
         if oneself.retiring {
-            return Step::Rest(Waiting::Nothing);
+            return MembershipStep::Wait(WaitReason::Nothing);
         }
         if !oneself.complete {
-            return Step::Rest(Waiting::Completeness);
+            return MembershipStep::Wait(WaitReason::Completeness);
         }
         let entry = oneself.entry.clone();
-        if nothing_kept_yet(members, self.tolerance) {
-            return Step::Change(members.with(entry));
+        if has_never_stored(members, self.tolerance) {
+            return MembershipStep::Change(members.with(entry));
         }
         if !oneself.caught_up {
-            return Step::Rest(Waiting::CatchUp);
+            return MembershipStep::Wait(WaitReason::CatchUp);
         }
-        if let Some(silent) = self.longest_silent(&members.list, oneself.replace_after) {
+        if let Some(silent) = self.longest_silent(&members.list, oneself.replacement_timeout) {
             let list = members.list_replacing(&silent, entry);
             return self.change_if_it_keeps(list);
         }
         // While a change is under way a new one waits, unless it replaces somebody.
         if !members.settled() {
-            return Step::Rest(Waiting::Settling);
+            return MembershipStep::Wait(WaitReason::Settling);
         }
-        if !oneself.room {
-            return Step::Rest(Waiting::Room);
+        if !oneself.has_room {
+            return MembershipStep::Wait(WaitReason::Room);
         }
         // One more beside a member that is lost would count it for the quorums: whoever has
         // not answered for a while is heard or replaced first.
         if self
-            .longest_silent(&members.list, oneself.replace_after / 2)
+            .longest_silent(&members.list, oneself.replacement_timeout / 2)
             .is_some()
         {
-            return Step::Rest(Waiting::Successor);
+            return MembershipStep::Wait(WaitReason::Successor);
         }
         let mut list = members.list.clone();
         list.push(entry);
@@ -211,79 +215,79 @@
     /// Changes to a list that has a write quorum: with many members in one zone that may
     /// be lost there is none, and a list without one counts as one that has never kept
     /// anything.
-    fn change_if_it_keeps(&self, list: List<Member>) -> Step {
+    fn change_if_it_keeps(&self, list: List<Member>) -> MembershipStep {
         match write_quorum(&list, self.tolerance) {
-            Some(_) => Step::Change(self.members.changing_to(list)),
-            None => Step::Rest(Waiting::Room),
+            Some(_) => MembershipStep::Change(self.members.changing_to(list)),
+            None => MembershipStep::Wait(WaitReason::Room),
         }
     }
 
     /// What a member does while no change is under way.
-    fn begin(&self) -> Step {
+    fn begin(&self) -> MembershipStep {
         let oneself = self.oneself;
-        let too_many = oneself.surplus && oneself.list_age >= SURPLUS_AFTER;
+        let too_many = oneself.surplus && oneself.member_list_age >= SURPLUS_LEAVE_DELAY;
         if oneself.retiring || too_many {
             return self.leave();
         }
         if !oneself.complete {
-            return Step::Rest(Waiting::Completeness);
+            return MembershipStep::Wait(WaitReason::Completeness);
         }
         if self.all_there() {
-            return Step::Rest(Waiting::Nothing);
+            return MembershipStep::Wait(WaitReason::Nothing);
         }
         // A removal just before a successor comes makes it begin anew.
-        if oneself.successor_near {
-            return Step::Rest(Waiting::Successor);
+        if oneself.successor_pending {
+            return MembershipStep::Wait(WaitReason::Successor);
         }
-        let removable = self.longest_silent(&self.members.list, REMOVE_AFTER);
+        let removable = self.longest_silent(&self.members.list, SILENT_REMOVAL_TIMEOUT);
         let list = removable.map(|silent| self.members.list_without(&silent));
-        match list.filter(|list| self.serves(list, REMOVE_AFTER)) {
-            Some(_) if !self.acts_first() => Step::Rest(Waiting::FirstMember),
-            Some(list) => Step::Change(self.members.changing_to(list)),
-            None => Step::Rest(Waiting::Successor),
+        match list.filter(|list| self.serves(list, SILENT_REMOVAL_TIMEOUT)) {
+            Some(_) if !self.acts_first() => MembershipStep::Wait(WaitReason::FirstMember),
+            Some(list) => MembershipStep::Change(self.members.changing_to(list)),
+            None => MembershipStep::Wait(WaitReason::Successor),
         }
     }
 
     fn all_there(&self) -> bool {
-        let silent = self.longest_silent(&self.members.list, self.oneself.replace_after);
+        let silent = self.longest_silent(&self.members.list, self.oneself.replacement_timeout);
         silent.is_none()
     }
 
     /// Leaves the list, if the others can serve without it.
-    fn leave(&self) -> Step {
+    fn leave(&self) -> MembershipStep {
         let list = self.members.list_without(&self.oneself.entry.node);
-        match self.serves(&list, self.oneself.replace_after) {
-            true => Step::BeginLeaving(self.members.changing_to(list)),
-            false => Step::Rest(Waiting::OthersToServe),
+        match self.serves(&list, self.oneself.replacement_timeout) {
+            true => MembershipStep::StartLeaving(self.members.changing_to(list)),
+            false => MembershipStep::Wait(WaitReason::OthersToServe),
         }
     }
 
     /// Settles the change under way, or gives it up where those from now on can't
     /// serve and those before can.
-    fn conclude(&self) -> Step {
+    fn conclude(&self) -> MembershipStep {
         let (members, oneself) = (self.members, self.oneself);
         if !self.acts_first() {
-            return Step::Rest(Waiting::FirstMember);
+            return MembershipStep::Wait(WaitReason::FirstMember);
         }
         let Some(missing) = self.missing_to_settle() else {
-            return Step::Change(members.settle());
+            return MembershipStep::Change(members.settle());
         };
-        let within = oneself.replace_after;
+        let within = oneself.replacement_timeout;
         if !self.serves(&members.list, within) && self.serves(&members.before, within) {
-            return Step::Change(members.give_up());
+            return MembershipStep::Change(members.give_up());
         }
-        Step::Rest(missing)
+        MembershipStep::Wait(missing)
     }
 
     /// What the change under way lacks to be settled.
-    fn missing_to_settle(&self) -> Option<Waiting> {
+    fn missing_to_settle(&self) -> Option<WaitReason> {
         if !self.oneself.complete {
-            return Some(Waiting::Completeness);
+            return Some(WaitReason::Completeness);
         }
         if !self.oneself.fenced {
-            return Some(Waiting::Fence);
+            return Some(WaitReason::Fence);
         }
-        (!self.holders_suffice()).then_some(Waiting::Holders)
+        (!self.holders_suffice()).then_some(WaitReason::Holders)
     }
 
     /// Whether a write quorum of the new members holds all that the fence held.
@@ -326,9 +330,9 @@
     /// not silent, or the first has had its time.
     fn acts_first(&self) -> bool {
         let oneself = self.oneself;
-        let living = |member: &&Member| !self.silent(&member.node, oneself.replace_after);
+        let living = |member: &&Member| !self.silent(&member.node, oneself.replacement_timeout);
         let first = self.members.list.iter().find(living);
         first.is_none_or(|first| first.node == oneself.entry.node)
-            || oneself.list_age >= OTHERS_STEP_AFTER
+            || oneself.member_list_age >= STEP_TAKEOVER_DELAY
     }
 }
--- a/crates/stageyoke-store/src/standing.rs
+++ b/crates/stageyoke-store/src/membership_state.rs
@@ -11,7 +11,7 @@
 
 /// How a store stands as a member of a group, as another store sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct PeerStanding {
+pub struct PeerStatus {
     /// Whether it vouches for what it misses.
     pub complete: bool,
     /// The version of the member list that it goes by.
@@ -20,14 +20,14 @@
 
 /// One store's standing.
 #[derive(Clone, Debug)]
-pub struct Standing {
+pub struct MembershipState {
     node: Text,
     stores: Rc<StoreGroups>,
     group: Option<GroupNumber>,
     completeness: Completeness,
 }
 
-impl Standing {
+impl MembershipState {
     /// Of the store on this machine, by what its disk tells.
     pub fn new(node: Text, stores: StoreGroups, completeness: Completeness) -> Self {
         Self {
@@ -60,32 +60,33 @@
 
     /// Whether the disk holds everything that the store ever acknowledged as a
     /// member of its group; before there are groups, of any.
-    pub fn complete(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         match self.group {
-            Some(group) => self.complete_for(group),
+            Some(group) => self.is_complete_for(group),
             None => self.completeness == Completeness::SinceFormation,
         }
     }
 
     /// The same for one group.
-    pub fn complete_for(&self, group: GroupNumber) -> bool {
-        self.completeness.holds_for(group, &self.node, &self.stores)
+    pub fn is_complete_for(&self, group: GroupNumber) -> bool {
+        self.completeness
+            .is_complete_for(group, &self.node, &self.stores)
     }
 
     /// Whether the store vouches for what its disk misses, to one who goes by
     /// this version of the group's member list: a complete member, by a list
     /// that is not older than its own. An older one may name stores that have
     /// been removed since and don't know it.
-    pub fn vouches_for(&self, group: GroupNumber, members_version: u64) -> bool {
-        self.complete_for(group)
+    pub fn is_authoritative_for(&self, group: GroupNumber, members_version: u64) -> bool {
+        self.is_complete_for(group)
             && self.entry_in(group).is_some()
             && !self.stale(group, members_version)
     }
 
     /// What another store that goes by this version is told.
-    pub fn for_peer(&self, group: GroupNumber, members_version: u64) -> PeerStanding {
-        PeerStanding {
-            complete: self.vouches_for(group, members_version),
+    pub fn peer_status(&self, group: GroupNumber, members_version: u64) -> PeerStatus {
+        PeerStatus {
+            complete: self.is_authoritative_for(group, members_version),
             members_version: self.version_of(group),
         }
     }
@@ -104,7 +105,7 @@
     }
 
     /// Whether a caller goes by a newer list of this store's group than the store.
-    pub fn is_behind(&self, group: GroupNumber, members_version: u64) -> bool {
+    pub fn is_lagging(&self, group: GroupNumber, members_version: u64) -> bool {
         self.group == Some(group) && members_version > self.version_of(group)
     }
 
@@ -121,9 +122,9 @@
 
     /// Names the group in the mark of a disk that has been there since the
     /// formation, once it is known: the store may leave that group later.
-    pub fn settle_completeness(&mut self) -> Option<Completeness> {
+    pub fn resolve_completeness(&mut self) -> Option<Completeness> {
         let since_formation = self.completeness == Completeness::SinceFormation;
-        match since_formation && self.group.is_some() && self.complete() {
+        match since_formation && self.group.is_some() && self.is_complete() {
             true => self.declare_complete(),
             false => None,
         }
@@ -131,7 +132,7 @@
 
     /// Takes newer store groups; false if they are not newer. A member of a
     /// group serves that one.
-    pub fn follow(&mut self, stores: Rc<StoreGroups>) -> bool {
+    pub fn update_stores(&mut self, stores: Rc<StoreGroups>) -> bool {
         if stores.version <= self.stores.version {
             return false;
         }
@@ -144,7 +145,7 @@
     }
 
     /// A store that is a member of no group fills up for this one.
-    pub fn fill_up_for(&mut self, group: Option<GroupNumber>) {
+    pub fn backfill_for(&mut self, group: Option<GroupNumber>) {
         if self.stores.group_of_node(&self.node).is_none() {
             self.group = group;
         }
--- a/crates/stageyoke-store/src/sync.rs
+++ b/crates/stageyoke-store/src/peer_sync.rs
@@ -13,14 +13,14 @@
 use tokio::time::Instant;
 
 use crate::client::StoreClient;
-use crate::exchange::{Exchange, Page};
+use crate::journal_sync::{DigestPage, JournalSync};
 use crate::keeper::Keeper;
-use crate::membership::caught_up_with_group;
+use crate::membership::is_caught_up_with_group;
 use crate::message::{RecordDigest, Reply, Request, SilentPeer};
 use stageyoke_observe as observe;
 
 /// Pause between rounds with a peer.
-pub const ROUND_PAUSE: Duration = Duration::from_millis(1000);
+pub const COMPARISON_INTERVAL: Duration = Duration::from_millis(1000);
 const CATCH_UP_PAUSE: Duration = Duration::from_millis(100);
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 const FETCH_PAGE: usize = 256;
@@ -30,7 +30,7 @@
 /// What is known of one peer.
 pub struct Peer {
     client: StoreClient,
-    exchange: RefCell<Exchange>,
+    exchange: RefCell<JournalSync>,
     last_answer: Cell<Option<Instant>>,
     /// Members that did not answer it when it answered last.
     silent: RefCell<List<SilentPeer>>,
@@ -78,7 +78,7 @@
     }
 
     /// Follows the member list: new peers are compared with, gone ones dropped.
-    pub fn follow(self: &Rc<Self>, members: &Members) {
+    pub fn update_members(self: &Rc<Self>, members: &Members) {
         if self.followed.replace(members.version) != members.version {
             self.list_changed.notify_waiters();
         }
@@ -128,7 +128,7 @@
 
     /// How long the member on this machine has not answered any of the peers that
     /// answer this store; `None` if none has told of it just now.
-    pub fn told_silent_for(&self, node: &str) -> Option<Duration> {
+    pub fn reported_silent_for(&self, node: &str) -> Option<Duration> {
         let peers = self.peers.borrow();
         let others = peers.iter().filter(|(other, _)| other.as_str() != node);
         let others = others.filter(|(_, peer)| peer.answered_just_now());
@@ -137,17 +137,17 @@
 
     /// Whether everything that this peer held is held here, since it was met, when
     /// it went by this version of the member list already.
-    pub fn caught_up_with(&self, node: &str, members_version: u64) -> bool {
-        self.exchange_with(node, |exchange| exchange.caught_up_under(members_version))
+    pub fn is_caught_up_with(&self, node: &str, members_version: u64) -> bool {
+        self.exchange_with(node, |exchange| exchange.is_caught_up_at(members_version))
     }
 
     /// Whether everything is held here that this peer held when it went by this
     /// version of the member list already.
-    pub fn in_step(&self, node: &str, members_version: u64) -> bool {
-        self.exchange_with(node, |exchange| exchange.in_step(members_version))
+    pub fn is_in_sync_with(&self, node: &str, members_version: u64) -> bool {
+        self.exchange_with(node, |exchange| exchange.is_in_sync(members_version))
     }
 
-    fn exchange_with(&self, node: &str, holds: impl Fn(&Exchange) -> bool) -> bool {
+    fn exchange_with(&self, node: &str, holds: impl Fn(&JournalSync) -> bool) -> bool {
         let peers = self.peers.borrow();
         let peer = peers.get(node);
         peer.is_some_and(|peer| holds(&peer.exchange.borrow()))
@@ -157,7 +157,7 @@
         match self.compare(peer).await {
             Some(true) => CATCH_UP_PAUSE,
             Some(false) if self.in_haste() => CATCH_UP_PAUSE,
-            Some(false) | None => ROUND_PAUSE,
+            Some(false) | None => COMPARISON_INTERVAL,
         }
     }
 
@@ -174,13 +174,13 @@
     async fn compare(&self, peer: &Peer) -> Option<bool> {
         let group = self.keeper.group()?;
         self.fetch_missing(peer).await?;
-        peer.exchange.borrow_mut().note_fetched();
+        peer.exchange.borrow_mut().mark_fetched();
         let request = Request::Digests {
             group,
             members_version: self.keeper.members().version,
             node: self.keeper.node.clone(),
             from: peer.exchange.borrow().position(),
-            held: peer.exchange.borrow().held(),
+            held: peer.exchange.borrow().held_position(),
         };
         let sent = Instant::now();
         let reply = self.call(peer, request).await?;
@@ -199,7 +199,7 @@
         self.keeper.hear_directory(directory, sent);
         self.tell_newer_stores(peer, members_version).await;
         peer.silent.replace(silent);
-        let page = Page {
+        let page = DigestPage {
             digests: &digests,
             next,
             more,
@@ -207,11 +207,11 @@
             members_version,
         };
         let holds = |digest| self.keeper.holds(digest);
-        peer.exchange.borrow_mut().take(page, holds);
-        if !self.keeper.complete() || !peer.exchange.borrow().caught_up() {
+        peer.exchange.borrow_mut().apply_page(page, holds);
+        if !self.keeper.complete() || !peer.exchange.borrow().is_caught_up() {
             self.fetch_missing(peer).await?;
         }
-        peer.exchange.borrow_mut().note_end();
+        peer.exchange.borrow_mut().mark_page_end();
         self.judge_completeness();
         Some(more)
     }
@@ -233,7 +233,7 @@
     async fn fetch_missing(&self, peer: &Peer) -> Option<()> {
         let missing = || {
             let holds = |digest| self.keeper.holds(digest);
-            peer.exchange.borrow_mut().missing(holds)
+            peer.exchange.borrow_mut().missing_digests(holds)
         };
         let digests = missing();
         let outcome = self.fetch(peer, &digests).await;
@@ -255,7 +255,9 @@
             else {
                 return None;
             };
-            peer.exchange.borrow_mut().forget(journal, &forgotten);
+            peer.exchange
+                .borrow_mut()
+                .forget_expired(journal, &forgotten);
             let mut kept = Vec::new();
             for record in records {
                 let keeper = self.keeper.clone();
@@ -280,10 +282,10 @@
 
     /// Whether so many peers have been caught up with that no kept record can
     /// stand only elsewhere.
-    pub fn caught_up_with_group(&self) -> bool {
+    pub fn is_caught_up_with_group(&self) -> bool {
         let members = self.keeper.members();
-        caught_up_with_group(&members, &self.tolerance, |node| {
-            self.caught_up_with(node, members.version)
+        is_caught_up_with_group(&members, &self.tolerance, |node| {
+            self.is_caught_up_with(node, members.version)
         })
     }
 
@@ -291,7 +293,7 @@
     /// with the group.
     fn judge_completeness(&self) {
         let waits = !self.keeper.complete() && self.keeper.is_listed_with_disk();
-        if waits && self.caught_up_with_group() {
+        if waits && self.is_caught_up_with_group() {
             self.keeper.set_complete();
             let detail = format!("members_version={}", self.keeper.members().version);
             observe::event(Event::StoreComplete, &detail);
--- a/crates/stageyoke-store/src/quorum.rs
+++ b/crates/stageyoke-store/src/quorum.rs
@@ -6,7 +6,7 @@
 
 use stageyoke_directory::{Members, Quorums, StoreGroups, Tolerance};
 
-use crate::group::GroupError;
+use crate::group_client::GroupError;
 use crate::keys::TurnKey;
 use crate::message::{ChainPart, LedgerEntry, Refusal, Reply};
 use stageyoke_types::Text;
@@ -31,7 +31,7 @@
     }
 
     /// Tokens used and reserved by all turns but this one.
-    pub fn total_without(&self, turn: &str) -> u64 {
+    pub fn total_excluding(&self, turn: &str) -> u64 {
         let TurnKey(turn) = TurnKey::of(turn);
         self.entries
             .values()
@@ -80,7 +80,7 @@
     }
 
     /// Takes an answer of the member on this machine, which counts once.
-    pub fn take(&mut self, member: &Text, reply: Reply) {
+    pub fn add_reply(&mut self, member: &Text, reply: Reply) {
         match reply {
             Reply::Kept {
                 complete, ledger, ..
@@ -115,19 +115,19 @@
     }
 
     /// Whether a write quorum has kept it.
-    pub fn kept(&self) -> bool {
+    pub fn is_stored(&self) -> bool {
         self.members
             .reach(self.quorums, |member| self.keeping.contains(&member.node))
     }
 
     /// Newer store groups that came with a refusal.
-    pub fn take_newer(&mut self) -> Option<StoreGroups> {
+    pub fn take_newer_stores(&mut self) -> Option<StoreGroups> {
         self.newer.take()
     }
 
     /// The ledger, or why no quorum has kept it.
     pub fn outcome(self) -> Result<LedgerView, GroupError> {
-        match self.kept() {
+        match self.is_stored() {
             true => Ok(self.ledger),
             false => Err(self.error),
         }
@@ -136,7 +136,7 @@
 
 /// What a group's answers say of one turn.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ChainStep {
+pub enum ChainLookup {
     /// It is held, with these turns before it.
     Parts {
         /// Newest first.
@@ -147,7 +147,7 @@
     /// No member's disk can hold it.
     Absent,
     /// Not known yet.
-    Unsure,
+    Unknown,
 }
 
 /// The answers to the question for one chain. Absence is known once so many
@@ -175,7 +175,7 @@
     }
 
     /// Takes an answer of the member on this machine, which counts once.
-    pub fn take(&mut self, member: &Text, reply: Reply) {
+    pub fn add_reply(&mut self, member: &Text, reply: Reply) {
         let (complete, parts, missing) = match reply {
             Reply::Chain {
                 complete,
@@ -198,7 +198,7 @@
     }
 
     /// Newer store groups that came in place of an answer.
-    pub fn take_newer(&mut self) -> Option<StoreGroups> {
+    pub fn take_newer_stores(&mut self) -> Option<StoreGroups> {
         self.newer.take()
     }
 
@@ -208,11 +208,11 @@
     }
 
     /// What is known now.
-    pub fn step(&mut self) -> ChainStep {
+    pub fn step(&mut self) -> ChainLookup {
         match self.found.take() {
-            Some((found, missing)) => ChainStep::Parts { found, missing },
-            None if self.absent() => ChainStep::Absent,
-            None => ChainStep::Unsure,
+            Some((found, missing)) => ChainLookup::Parts { found, missing },
+            None if self.absent() => ChainLookup::Absent,
+            None => ChainLookup::Unknown,
         }
     }
 }
--- a/crates/stageyoke-store/src/owners.rs
+++ b/crates/stageyoke-store/src/quota_owners.rs
@@ -63,7 +63,7 @@
 
 /// A request that an owner has granted, by which it can be given back.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Grant {
+pub struct QuotaGrant {
     /// Who granted it.
     pub owner: Text,
     /// Hash of the tenant's name.
@@ -74,26 +74,26 @@
 
 /// What an owner has said.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ruling {
+pub struct QuotaDecision {
     /// Whether the request may be made.
     pub verdict: Verdict,
     /// Fronts that the owner hears from.
     pub fronts: u16,
     /// The grant, if it is one.
-    pub grant: Option<Grant>,
+    pub grant: Option<QuotaGrant>,
 }
 
 /// The stores as owners of tenants' limits.
 #[derive(Debug, Default)]
-pub struct Owners {
+pub struct QuotaOwners {
     tolerance: Tolerance,
     stores: RefCell<Vec<Ranked>>,
     distrusted: RefCell<HashMap<Text, Instant>>,
 }
 
-impl Owners {
+impl QuotaOwners {
     /// Owners of which so many may be lost at once.
-    pub fn tolerating(tolerance: Tolerance) -> Self {
+    pub fn with_tolerance(tolerance: Tolerance) -> Self {
         Self {
             tolerance,
             ..Self::default()
@@ -101,7 +101,7 @@
     }
 
     /// Follows the members of the store groups.
-    pub fn follow(&self, stores: &StoreGroups) {
+    pub fn update_stores(&self, stores: &StoreGroups) {
         let regions = &self.tolerance.regions_of_zones;
         let ranked = stores.members().map(|member| Ranked {
             node: member.node.clone(),
@@ -117,12 +117,12 @@
     }
 
     /// The stores that count for a tenant, the first first.
-    pub fn counting(&self, tenant: u64) -> Vec<Text> {
+    pub fn counting_owners(&self, tenant: u64) -> Vec<Text> {
         self.ranking(tenant).counting
     }
 
     /// A tenant's owners, the first first: those that count, and one in their place.
-    pub fn of(&self, tenant: u64) -> Vec<Text> {
+    pub fn owners_of(&self, tenant: u64) -> Vec<Text> {
         let ranking = self.ranking(tenant);
         ranking
             .counting
@@ -172,11 +172,11 @@
 
     /// Asks a tenant's owners one after the other; `None` where none answers. One that
     /// does not know the whole window decides only where none does.
-    pub async fn ask(
+    pub async fn request_decision(
         &self,
         question: Question,
         client: impl Fn(&Text) -> Option<Rc<StoreClient>>,
-    ) -> Option<Ruling> {
+    ) -> Option<QuotaDecision> {
         let ranking = self.ranking(question.tenant);
         let counting = ranking.counting.iter();
         let (distrusted, trusted): (Vec<_>, Vec<_>) =
@@ -210,7 +210,7 @@
         question: Question,
         asking: Asking,
         client: &impl Fn(&Text) -> Option<Rc<StoreClient>>,
-    ) -> Option<Ruling> {
+    ) -> Option<QuotaDecision> {
         let asked = client(node)?;
         let tenant = question.tenant;
         let question = QuotaQuestion {
@@ -219,7 +219,7 @@
             ..QuotaQuestion::from(question)
         };
         match asked.call(Request::Quota(question), ANSWER_WITHIN).await {
-            Ok(Reply::Quota(answer)) => Some(Ruling::of(answer, node, tenant)),
+            Ok(Reply::Quota(answer)) => Some(QuotaDecision::of(answer, node, tenant)),
             Ok(_) | Err(_) => {
                 let until = Instant::now() + DISTRUST;
                 self.distrusted.borrow_mut().insert(node.clone(), until);
@@ -235,9 +235,9 @@
         &self,
         node: &Text,
         question: Question,
-        ruling: Ruling,
+        ruling: QuotaDecision,
         client: impl Fn(&Text) -> Option<Rc<StoreClient>>,
-    ) -> Ruling {
+    ) -> QuotaDecision {
         if ruling.verdict == Verdict::Granted {
             let others = self.counting.iter().filter(|other| *other != node);
             tell_granted(question, others.filter_map(client));
@@ -257,7 +257,7 @@
 
 /// Gives back a request that an owner has granted and that was not run. One that does
 /// not hear of it counts it until it leaves the window.
-pub(crate) fn give_back(grant: &Grant, client: Option<Rc<StoreClient>>) {
+pub(crate) fn refund(grant: &QuotaGrant, client: Option<Rc<StoreClient>>) {
     let Some(owner) = client else {
         metrics().quota_untold.inc();
         return;
@@ -276,7 +276,7 @@
     }
 }
 
-impl Ruling {
+impl QuotaDecision {
     fn of(answer: QuotaAnswer, owner: &Text, tenant: u64) -> Self {
         let after = Duration::from_millis(u64::from(answer.retry_after_milliseconds));
         let verdict = match (answer.known, answer.granted) {
@@ -284,7 +284,7 @@
             (true, true) => Verdict::Granted,
             (true, false) => Verdict::Refused(after),
         };
-        let grant = (verdict == Verdict::Granted).then(|| Grant {
+        let grant = (verdict == Verdict::Granted).then(|| QuotaGrant {
             owner: owner.clone(),
             tenant,
             receipt: answer.receipt,
--- a/crates/stageyoke-store/src/rank_load.rs
+++ b/crates/stageyoke-store/src/rank_load.rs
@@ -8,21 +8,21 @@
 use tokio::time::Instant;
 
 use crate::extension::RankLoad;
-use crate::load::{REPORT_LIFE, count_down};
+use crate::load::{LOAD_REPORT_TTL, count_down};
 
 /// Services and ranks of turns in one report.
 pub const MAX_RANK_LOADS: usize = 32;
 
 /// A service's engines and a rank of turns there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Ranked {
+pub struct ServiceRank {
     /// Hash of the service's name.
     pub service: u32,
     /// Rank; 0 is the most urgent.
     pub rank: u8,
 }
 
-impl Ranked {
+impl ServiceRank {
     fn of(load: &RankLoad) -> Self {
         Self {
             service: load.service,
@@ -33,11 +33,11 @@
 
 /// Turns by service and rank.
 #[derive(Debug, Default)]
-struct RankCounts(HashMap<Ranked, u16>);
+struct RankCounts(HashMap<ServiceRank, u16>);
 
 impl RankCounts {
     fn add(&mut self, load: &RankLoad) {
-        let sum = self.0.entry(Ranked::of(load)).or_default();
+        let sum = self.0.entry(ServiceRank::of(load)).or_default();
         *sum = sum.saturating_add(load.under_way);
     }
 
@@ -64,37 +64,37 @@
 
 /// A front's own turns and what it last heard of all others'.
 #[derive(Debug, Default)]
-pub struct RankBoard {
+pub struct RankTracker {
     tells: Cell<bool>,
     own: RefCell<RankCounts>,
     others: RefCell<Option<Heard>>,
 }
 
-impl RankBoard {
+impl RankTracker {
     /// From now on other fronts are told, and tell this one.
-    pub fn tell_others(&self) {
+    pub fn enable_reports(&self) {
         self.tells.set(true);
     }
 
     /// Counts a turn of this rank as begun at an engine of a service.
-    pub fn begin(&self, ranked: Ranked) {
+    pub fn start_turn(&self, ranked: ServiceRank) {
         let mut own = self.own.borrow_mut();
         let count = own.0.entry(ranked).or_default();
         *count = count.saturating_add(1);
     }
 
     /// Counts it as ended.
-    pub fn end(&self, ranked: Ranked) {
+    pub fn end_turn(&self, ranked: ServiceRank) {
         count_down(&mut self.own.borrow_mut().0, ranked);
     }
 
     /// The front's own turns, for its stores; none where nothing is told to others.
-    pub fn told(&self) -> Option<List<RankLoad>> {
+    pub fn report(&self) -> Option<List<RankLoad>> {
         self.tells.get().then(|| self.own.borrow().listed())
     }
 
     /// Takes the turns that all other fronts have under way.
-    pub fn hear(&self, others: &List<RankLoad>) {
+    pub fn apply_report(&self, others: &List<RankLoad>) {
         let mut counts = RankCounts::default();
         others.iter().for_each(|load| counts.add(load));
         let at = Instant::now();
@@ -103,10 +103,10 @@
 
     /// Turns under way at a service's engines of this rank or a more urgent one; `None`
     /// where what other fronts have is not known or was told too long ago.
-    pub fn as_urgent(&self, ranked: Ranked) -> Option<u32> {
+    pub fn in_flight_at_or_above(&self, ranked: ServiceRank) -> Option<u32> {
         let others = self.others.borrow();
         let heard = others.as_ref()?;
-        if heard.at.elapsed() >= REPORT_LIFE {
+        if heard.at.elapsed() >= LOAD_REPORT_TTL {
             return None;
         }
         let own = self.own.borrow();
@@ -132,15 +132,15 @@
 
 impl RankReports {
     /// Takes a front's turns in place of its former ones.
-    pub fn take(&self, front: u32, loads: List<RankLoad>) {
+    pub fn update(&self, front: u32, loads: List<RankLoad>) {
         let at = Instant::now();
         self.fronts.borrow_mut().insert(front, Told { loads, at });
     }
 
     /// Turns of all fronts but one.
-    pub fn of_others(&self, front: u32) -> List<RankLoad> {
+    pub fn report_excluding(&self, front: u32) -> List<RankLoad> {
         let mut fronts = self.fronts.borrow_mut();
-        fronts.retain(|_, told| told.at.elapsed() < REPORT_LIFE);
+        fronts.retain(|_, told| told.at.elapsed() < LOAD_REPORT_TTL);
         let others = fronts.iter().filter(|(other, _)| **other != front);
         let mut counts = RankCounts::default();
         others
--- a/crates/stageyoke-store/src/healing.rs
+++ b/crates/stageyoke-store/src/recovery_monitor.rs
@@ -8,8 +8,8 @@
 use stageyoke_types::Event;
 use tokio::time::Instant;
 
-use crate::membership::Step;
-use crate::waiting::{Counts, Waiting};
+use crate::membership::MembershipStep;
+use crate::wait_reason::{MemberCounts, WaitReason};
 
 /// What is waited for is told once it has been the same for so long: a change that
 /// goes well passes through several within a second.
@@ -18,25 +18,30 @@
 /// What is waited for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Wait {
-    waiting: Waiting,
+    waiting: WaitReason,
     members_version: u64,
 }
 
 /// What a store waits for, and since when its group is not whole.
 #[derive(Debug, Default)]
-pub struct Healing {
+pub struct RecoveryMonitor {
     current: Cell<Option<(Wait, Instant)>>,
     told: Cell<Option<Wait>>,
     hurt_since: Cell<Option<Instant>>,
 }
 
-impl Healing {
+impl RecoveryMonitor {
     /// Takes the step that was decided by the list of this version.
-    pub fn take(&self, step: &Step, members_version: u64, counts: impl FnOnce() -> Counts) {
+    pub fn observe_step(
+        &self,
+        step: &MembershipStep,
+        members_version: u64,
+        counts: impl FnOnce() -> MemberCounts,
+    ) {
         let waiting = match step {
-            Step::Rest(waiting) => *waiting,
+            MembershipStep::Wait(waiting) => *waiting,
             // It makes the step itself.
-            Step::Change(_) | Step::BeginLeaving(_) => Waiting::FirstMember,
+            MembershipStep::Change(_) | MembershipStep::StartLeaving(_) => WaitReason::FirstMember,
         };
         self.measure(waiting);
         let wait = Wait {
@@ -48,7 +53,7 @@
         self.current.set(Some((wait, since)));
         let is_told = match self.told.get() {
             Some(told) => told == wait,
-            None => waiting == Waiting::Nothing,
+            None => waiting == WaitReason::Nothing,
         };
         if is_told || since.elapsed() < TELL_AFTER {
             return;
@@ -60,9 +65,9 @@
 
     /// Measures from the moment at which something is missing to the one at which the
     /// list is settled and all its members are there.
-    fn measure(&self, waiting: Waiting) {
+    fn measure(&self, waiting: WaitReason) {
         let metrics = observe::metrics();
-        let whole = matches!(waiting, Waiting::Nothing | Waiting::Room);
+        let whole = matches!(waiting, WaitReason::Nothing | WaitReason::Room);
         metrics.group_whole.set(i64::from(whole));
         match (whole, self.hurt_since.get()) {
             (true, Some(since)) => {
--- a/crates/stageyoke-store/src/relay.rs
+++ b/crates/stageyoke-store/src/relay.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 use crate::client::{CallError, StoreClient};
-use crate::groups::Groups;
+use crate::group_clients::GroupClients;
 use crate::message::{CopyMark, Reply, Request, SeenChange, SeenItem};
 
 /// Stores that are asked one after the other for one answer.
@@ -124,7 +124,7 @@
 /// each front that starts, and its changes for as long as it runs (4.1 MB a second at
 /// 200 fronts, where the middle one of 100 stores sent 0.04).
 pub struct StoreRelay {
-    groups: Rc<Groups>,
+    groups: Rc<GroupClients>,
     seeds: Vec<String>,
     /// Stores that those of the settings have named.
     named: RefCell<Vec<Text>>,
@@ -134,7 +134,7 @@
 
 impl StoreRelay {
     /// Asks members of these groups, or the stores at these addresses.
-    pub fn new(groups: Rc<Groups>, seeds: Vec<String>) -> Self {
+    pub fn new(groups: Rc<GroupClients>, seeds: Vec<String>) -> Self {
         Self {
             groups,
             seeds,
@@ -183,7 +183,7 @@
 
     /// Stores to ask: the one that answered last, one near, and others.
     fn candidates(&self) -> Vec<Rc<StoreClient>> {
-        let clients = self.groups.clients_to_ask(ASKED);
+        let clients = self.groups.sample_clients(ASKED);
         if clients.is_empty() {
             return self.first_stores();
         }
--- a/crates/stageyoke-store/src/pace.rs
+++ b/crates/stageyoke-store/src/replica_latency.rs
@@ -53,13 +53,13 @@
 
 /// Times of a front's answers that are still to be told, to each store group.
 #[derive(Debug, Default)]
-pub struct UntoldPaces {
+pub struct UnreportedLatencies {
     groups: RefCell<HashMap<GroupNumber, HashMap<u32, Answers>>>,
 }
 
-impl UntoldPaces {
+impl UnreportedLatencies {
     /// An answer took so many times as long as such answers usually do.
-    pub fn note(&self, replica: u32, ratio: f64) {
+    pub fn record(&self, replica: u32, ratio: f64) {
         let mut groups = self.groups.borrow_mut();
         for untold in groups.values_mut() {
             if untold.len() >= MOST_TOLD && !untold.contains_key(&replica) {
@@ -86,13 +86,13 @@
 
 /// What a front has heard of slow replicas.
 #[derive(Debug, Default)]
-pub struct HeardPaces {
+pub struct ReceivedSlowdowns {
     slow: RefCell<HashMap<u32, (f64, Instant)>>,
 }
 
-impl HeardPaces {
+impl ReceivedSlowdowns {
     /// A store has told of these.
-    pub fn hear(&self, slow: &[SlowReplica]) {
+    pub fn apply_report(&self, slow: &[SlowReplica]) {
         let mut heard = self.slow.borrow_mut();
         heard.retain(|_, (_, at)| at.elapsed() < HEARD_LIFE);
         for replica in slow {
@@ -102,7 +102,7 @@
     }
 
     /// How many times as long as others a replica takes; 1 where nothing is known.
-    pub fn slowness(&self, replica: u32) -> f64 {
+    pub fn slowdown(&self, replica: u32) -> f64 {
         let heard = self.slow.borrow();
         let known = heard.get(&replica);
         let known = known.filter(|(_, at)| at.elapsed() < HEARD_LIFE);
@@ -112,12 +112,12 @@
 
 /// A store's collection of what fronts tell.
 #[derive(Debug)]
-pub struct Paces {
+pub struct LatencyStats {
     replicas: HashMap<u32, Told>,
     fade: Duration,
 }
 
-impl Default for Paces {
+impl Default for LatencyStats {
     /// Of replicas of plain services.
     fn default() -> Self {
         Self {
@@ -148,9 +148,9 @@
     }
 }
 
-impl Paces {
+impl LatencyStats {
     /// Of engines.
-    pub fn of_engines() -> Self {
+    pub fn for_engines() -> Self {
         Self {
             fade: ENGINE_FADE,
             ..Self::default()
@@ -158,7 +158,7 @@
     }
 
     /// Takes what a front tells.
-    pub fn take(&mut self, entries: &[PaceEntry]) {
+    pub fn add(&mut self, entries: &[PaceEntry]) {
         let now = Instant::now();
         for entry in entries {
             if self.replicas.len() >= MOST_REPLICAS && !self.replicas.contains_key(&entry.replica) {
@@ -173,7 +173,7 @@
     }
 
     /// Replicas that take longer than the others now.
-    pub fn slow(&mut self) -> List<SlowReplica> {
+    pub fn slow_replicas(&mut self) -> List<SlowReplica> {
         let now = Instant::now();
         let means = self
             .replicas
--- a/crates/stageyoke-store/src/role.rs
+++ b/crates/stageyoke-store/src/role.rs
@@ -24,16 +24,18 @@
 pub use self::report::report_mirror_event;
 use crate::extension::describe_build;
 use crate::formation::{Formation, FormationStep};
-use crate::healing::Healing;
 use crate::keeper::{Keeper, SilentSince};
 use crate::limits::StoreLimits;
-use crate::membership::{Oneself, PeerHealth, SharedEnd, Step, decide, fenced, nothing_kept_yet};
+use crate::membership::{
+    FencedJournalEnd, LocalMember, MembershipStep, PeerHealth, decide, has_never_stored, is_fenced,
+};
+use crate::peer_sync::Peers;
+use crate::recovery_monitor::RecoveryMonitor;
 use crate::relay::seen_item;
 use crate::segment::DataFolder;
 use crate::server;
-use crate::spare::{LOST_AFTER, Survey, replace_after};
-use crate::sync::Peers;
-use crate::waiting::Counts;
+use crate::spare::{LOST_MEMBER_TIMEOUT, MemberProber, replacement_timeout};
+use crate::wait_reason::MemberCounts;
 use stageyoke_observe as observe;
 use stageyoke_policy::quota::Tolerance as QuotaTolerance;
 
@@ -124,10 +126,10 @@
     mirror: Rc<Mirror<S, I>>,
     keeper: Rc<Keeper>,
     peers: Rc<Peers>,
-    survey: Survey,
+    survey: MemberProber,
     formation: RefCell<Formation>,
-    shared_end: Cell<Option<SharedEnd>>,
-    healing: Healing,
+    shared_end: Cell<Option<FencedJournalEnd>>,
+    healing: RecoveryMonitor,
     items_kept: Cell<KeptItems>,
 }
 
@@ -169,10 +171,10 @@
             mirror,
             keeper,
             peers,
-            survey: Survey::default(),
+            survey: MemberProber::default(),
             formation: RefCell::default(),
             shared_end: Cell::new(None),
-            healing: Healing::default(),
+            healing: RecoveryMonitor::default(),
             items_kept: Cell::default(),
         });
         host.follow();
@@ -200,14 +202,16 @@
         let view = self.mirror.view();
         self.keeper.set_stores(view.stores.clone());
         if !view.stores.formed() {
-            self.formation.borrow_mut().follow(&view.registered);
+            self.formation
+                .borrow_mut()
+                .update_registrations(&view.registered);
             let registered = view.registered.values();
             let addresses = registered.map(|store| store.address.clone());
             self.keeper.set_registered(addresses.collect());
         }
         self.choose_group();
         let members = self.keeper.members();
-        self.peers.follow(&members);
+        self.peers.update_members(&members);
         self.tell_silence(&members);
         let mut first = members.list.iter().take(ASKING_FIRST);
         let asks_first = first.any(|member| member.node == self.settings.node);
@@ -251,7 +255,7 @@
         let mut others = self.others(members);
         is_newest
             && self.ordinary_size(stores).is_some_and(larger)
-            && others.all(|member| self.silent_for(member) < LOST_AFTER)
+            && others.all(|member| self.silent_for(member) < LOST_MEMBER_TIMEOUT)
     }
 
     /// Whether the group takes one more member: it has less than an ordinary one, or
@@ -259,7 +263,8 @@
     fn room(&self, stores: &StoreGroups, members: &Members) -> bool {
         let smaller = |size| members.list.len() < size;
         let takes_all = stores.groups.len() == 1;
-        self.survey.has_asked() && (takes_all || self.ordinary_size(stores).is_some_and(smaller))
+        self.survey.has_probed_all()
+            && (takes_all || self.ordinary_size(stores).is_some_and(smaller))
     }
 
     /// Keeps the items of the service, for fronts that start while it is down:
@@ -356,11 +361,11 @@
         let group = self.keeper.group()?;
         let change = |members| stores.with_group(group, members);
         match self.next_step(&stores, stores.group(group)?) {
-            Step::Rest(_) => None,
-            Step::BeginLeaving(members) if self.retiring() => {
+            MembershipStep::Wait(_) => None,
+            MembershipStep::StartLeaving(members) if self.retiring() => {
                 Some(Proposal::retirement(change(members), false))
             }
-            Step::Change(members) | Step::BeginLeaving(members) => {
+            MembershipStep::Change(members) | MembershipStep::StartLeaving(members) => {
                 Some(Proposal::change(change(members)))
             }
         }
@@ -374,8 +379,8 @@
             return self.before_leaving(stores);
         }
         let mut formation = self.formation.borrow_mut();
-        match formation.next(stores, &self.entry(), &self.settings.tolerance) {
-            FormationStep::Rest => None,
+        match formation.next_step(stores, &self.entry(), &self.settings.tolerance) {
+            FormationStep::Wait => None,
             FormationStep::Register => Some(Proposal::Registration(self.entry())),
             FormationStep::Form(groups) => Some(Proposal::change(groups)),
         }
@@ -409,28 +414,28 @@
 
     /// The next step in the list of the group that this store is a member of,
     /// or fills up for.
-    fn next_step(&self, stores: &StoreGroups, members: &Members) -> Step {
-        if nothing_kept_yet(members, &self.settings.tolerance) {
+    fn next_step(&self, stores: &StoreGroups, members: &Members) -> MembershipStep {
+        if has_never_stored(members, &self.settings.tolerance) {
             self.keeper.set_complete();
         }
         let fenced = self.fenced(members);
-        let oneself = Oneself {
+        let oneself = LocalMember {
             entry: self.entry(),
             complete: self.keeper.complete(),
-            caught_up: self.peers.caught_up_with_group(),
+            caught_up: self.peers.is_caught_up_with_group(),
             retiring: self.retiring(),
             surplus: self.surplus(stores, members),
-            room: self.room(stores, members),
-            successor_near: self.keeper.spare_heard().is_some_and(|at| at < SPARE_NEAR),
+            has_room: self.room(stores, members),
+            successor_pending: self.keeper.spare_heard().is_some_and(|at| at < SPARE_NEAR),
             fenced,
-            list_age: self.keeper.members_since().elapsed(),
-            replace_after: replace_after(self.settings.catch_up),
+            member_list_age: self.keeper.members_since().elapsed(),
+            replacement_timeout: replacement_timeout(self.settings.catch_up),
         };
         let peers = self.peer_health(members, fenced);
         let tolerance = &self.settings.tolerance;
         let step = decide(members, &oneself, &peers, tolerance);
-        let counts = || Counts::of(members, &oneself, &peers, tolerance);
-        self.healing.take(&step, members.version, counts);
+        let counts = || MemberCounts::new(members, &oneself, &peers, tolerance);
+        self.healing.observe_step(&step, members.version, counts);
         step
     }
 
@@ -441,10 +446,10 @@
     }
 
     fn fenced(&self, members: &Members) -> bool {
-        fenced(members, &self.settings.tolerance, |member| {
+        is_fenced(members, &self.settings.tolerance, |member| {
             match member.node == self.settings.node {
                 true => self.keeper.complete() && self.keeper.stores_saved(),
-                false => self.peers.in_step(&member.node, members.version),
+                false => self.peers.is_in_sync_with(&member.node, members.version),
             }
         })
     }
@@ -452,11 +457,11 @@
     fn peer_health(&self, members: &Members, fenced: bool) -> Vec<PeerHealth> {
         let known = self.shared_end.get();
         let end = self.keeper.end();
-        let shared_end = SharedEnd::under(members, known, fenced, end);
+        let shared_end = FencedJournalEnd::for_members(members, known, fenced, end);
         self.shared_end.set(shared_end);
         let holds_it = |node: &str| {
             let held = self.keeper.held_by(node);
-            shared_end.is_some_and(|end| end.held_by(held))
+            shared_end.is_some_and(|end| end.is_covered_by(held))
         };
         self.others(members)
             .map(|member| PeerHealth {
@@ -474,8 +479,8 @@
     fn silent_for(&self, member: &Member) -> Duration {
         let node = &member.node;
         let as_peer = self.peers.silent_for(node).unwrap_or_default();
-        let told = match self.survey.never_heard(node) {
-            true => self.peers.told_silent_for(node).unwrap_or_default(),
+        let told = match self.survey.has_never_answered(node) {
+            true => self.peers.reported_silent_for(node).unwrap_or_default(),
             false => Duration::ZERO,
         };
         as_peer.max(self.survey.silent_for(node)).max(told)
--- a/crates/stageyoke-store/src/segment.rs
+++ b/crates/stageyoke-store/src/segment.rs
@@ -387,7 +387,7 @@
 
     fn read_completeness(&self) -> io::Result<Completeness> {
         match self.read_file(COMPLETE_FILE) {
-            Ok(bytes) => Ok(Completeness::of_mark(&String::from_utf8_lossy(&bytes))),
+            Ok(bytes) => Ok(Completeness::from_mark(&String::from_utf8_lossy(&bytes))),
             Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(Completeness::Incomplete),
             Err(error) => Err(error),
         }
--- a/crates/stageyoke-store/src/spare.rs
+++ b/crates/stageyoke-store/src/spare.rs
@@ -20,7 +20,7 @@
 const ANSWER_WITHIN: Duration = Duration::from_millis(700);
 /// A member that has not answered for this long is taken as lost: two rounds
 /// and a bit. It stays a member until its peers remove it.
-pub const LOST_AFTER: Duration = Duration::from_millis(2300);
+pub const LOST_MEMBER_TIMEOUT: Duration = Duration::from_millis(2300);
 
 /// A process that has just started may be a spare as soon as it knows the groups; in a
 /// group that can't serve without it each second counts.
@@ -30,8 +30,8 @@
 /// How long a member may be silent before a spare takes its place: half of the time
 /// that the group has to heal, so that the change itself has the other half, and no
 /// longer than a survey needs.
-pub fn replace_after(catch_up: Duration) -> Duration {
-    LOST_AFTER.min(catch_up / 2)
+pub fn replacement_timeout(catch_up: Duration) -> Duration {
+    LOST_MEMBER_TIMEOUT.min(catch_up / 2)
 }
 
 struct Asked {
@@ -42,12 +42,12 @@
 
 /// What a spare knows of the members of all groups.
 #[derive(Default)]
-pub struct Survey {
+pub struct MemberProber {
     asked: RefCell<HashMap<Text, Rc<Asked>>>,
     asked_since: Cell<Option<Instant>>,
 }
 
-impl Survey {
+impl MemberProber {
     /// The group that needs the store on this machine most. `None` before all members have had
     /// the time to answer, or if none does.
     pub fn group_in_need(
@@ -56,14 +56,14 @@
         size: usize,
         node: &str,
     ) -> Option<GroupNumber> {
-        if stores.groups.len() > 1 && !self.has_asked() {
+        if stores.groups.len() > 1 && !self.has_probed_all() {
             return None;
         }
         group_in_need(stores, size, node, |member| self.lives(member))
     }
 
     fn lives(&self, member: &Member) -> bool {
-        self.silent_for(&member.node) < LOST_AFTER
+        self.silent_for(&member.node) < LOST_MEMBER_TIMEOUT
     }
 
     /// How long the member on this machine has not answered this spare's questions.
@@ -77,7 +77,7 @@
     }
 
     /// Whether the member on this machine has had the time to answer, and never has.
-    pub fn never_heard(&self, node: &str) -> bool {
+    pub fn has_never_answered(&self, node: &str) -> bool {
         let asked = self.asked.borrow();
         asked.get(node).is_some_and(|asked| {
             asked.answered_at.get().is_none() && asked.since.elapsed() >= ANSWER_WITHIN
@@ -85,14 +85,14 @@
     }
 
     /// Whether every member has had the time to answer.
-    pub fn has_asked(&self) -> bool {
+    pub fn has_probed_all(&self) -> bool {
         let since = self.asked_since.get();
-        since.is_some_and(|since| since.elapsed() >= LOST_AFTER)
+        since.is_some_and(|since| since.elapsed() >= LOST_MEMBER_TIMEOUT)
     }
 
     /// Asks all members once, without waiting, unless that was done just now.
     /// Needs a local task set.
-    pub fn ask(&self, stores: &StoreGroups) {
+    pub fn probe_members(&self, stores: &StoreGroups) {
         let mut asked = self.asked.borrow_mut();
         asked.retain(|node, asked| {
             let mut members = stores.members();
@@ -131,7 +131,7 @@
                     if self.asked_since.get().is_none() {
                         self.asked_since.set(Some(Instant::now()));
                     }
-                    self.ask(&stores);
+                    self.probe_members(&stores);
                 }
                 None => {
                     self.asked_since.set(None);
--- a/crates/stageyoke-store/src/state.rs
+++ b/crates/stageyoke-store/src/state.rs
@@ -8,12 +8,12 @@
 use stageyoke_types::{List, Text};
 
 use crate::keys::{ProgramKey, TurnKey};
+use crate::membership_state::PeerStatus;
 use crate::message::{
     ChainPart, JournalPosition, LedgerEntry, Record, RecordDigest, Reply, TurnRecord,
 };
-use crate::recent::RecentTurns;
+use crate::recent_turns::RecentTurns;
 use crate::segment::Place;
-use crate::standing::PeerStanding;
 
 /// Digests in one page.
 pub const DIGEST_PAGE: usize = 4096;
@@ -286,7 +286,7 @@
     pub fn digests(
         &self,
         from: JournalPosition,
-        standing: PeerStanding,
+        standing: PeerStatus,
         directory: DirectoryMark,
     ) -> Reply {
         let start = if from.journal == self.journal_identifier {
--- a/crates/stageyoke-store/src/waiting.rs
+++ b/crates/stageyoke-store/src/wait_reason.rs
@@ -7,11 +7,11 @@
 use stageyoke_directory::{Member, Members, Tolerance, write_quorum};
 use stageyoke_types::Text;
 
-use crate::membership::{Oneself, PeerHealth};
+use crate::membership::{LocalMember, PeerHealth};
 
 /// What a store waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Waiting {
+pub enum WaitReason {
     /// Nothing: the list is settled, and all its members are there.
     Nothing,
     /// Its own disk may lack something: as many complete members, by the list of
@@ -36,7 +36,7 @@
     OthersToServe,
 }
 
-impl fmt::Display for Waiting {
+impl fmt::Display for WaitReason {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Self::Nothing => "nothing",
@@ -62,7 +62,7 @@
 
 /// The counts that a step is decided by.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Counts {
+pub struct MemberCounts {
     /// Members of the list, and before the change under way.
     members: Living,
     before: Living,
@@ -80,18 +80,18 @@
     needed: usize,
 }
 
-impl Counts {
+impl MemberCounts {
     /// By what a store knows of the others.
-    pub fn of(
+    pub fn new(
         members: &Members,
-        oneself: &Oneself,
+        oneself: &LocalMember,
         peers: &[PeerHealth],
         tolerance: &Tolerance,
     ) -> Self {
         let peer = |node: &str| peers.iter().find(|peer| peer.node.as_str() == node);
         let lives = |node: &str| {
             let peer = peer(node);
-            peer.is_none_or(|peer| peer.silent_for <= oneself.replace_after)
+            peer.is_none_or(|peer| peer.silent_for <= oneself.replacement_timeout)
         };
         let count = |list: &[Member]| Living {
             all: list.len(),
@@ -117,7 +117,7 @@
     }
 }
 
-impl fmt::Display for Counts {
+impl fmt::Display for MemberCounts {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Living {
             all,
--- a/crates/stageyoke-store/tests/engine_pace_test.rs
+++ b/crates/stageyoke-store/tests/engine_pace_test.rs
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use stageyoke_directory::GroupNumber;
-use stageyoke_store::engine_pace::{EngineBoard, EngineReports};
+use stageyoke_store::engine_latency::{EngineReports, EngineTracker};
 use stageyoke_store::extension::Deviation;
 
 const GROUP: GroupNumber = GroupNumber(0);
@@ -26,11 +26,11 @@
 
 /// A front tells of one turn.
 fn tell(reports: &EngineReports, engine: u32, ratio: f64) {
-    let board = EngineBoard::default();
-    board.tell_others();
-    board.untold(GROUP);
-    board.note(engine, ratio);
-    reports.take(&board.untold(GROUP).unwrap_or_default());
+    let board = EngineTracker::default();
+    board.enable_reports();
+    board.take_unreported(GROUP);
+    board.record_ratio(engine, ratio);
+    reports.add(&board.take_unreported(GROUP).unwrap_or_default());
 }
 
 /// Plays so many turns of each front; turns differ by up to a half either way.
@@ -49,10 +49,10 @@
     }
 }
 
-fn heard(reports: &EngineReports, front: u32) -> EngineBoard {
-    let heard = EngineBoard::default();
-    let deviations = reports.deviations(front).expect("due");
-    heard.hear(&deviations);
+fn heard(reports: &EngineReports, front: u32) -> EngineTracker {
+    let heard = EngineTracker::default();
+    let deviations = reports.deviations_for(front).expect("due");
+    heard.apply_report(&deviations);
     heard
 }
 
@@ -63,7 +63,7 @@
     let mut random = ChaCha8Rng::seed_from_u64(5);
     play(&reports, &mut random, 20, build).await;
     let heard = heard(&reports, 1);
-    let known = (0..ENGINES).filter_map(|engine| Some((engine, heard.times(engine)?)));
+    let known = (0..ENGINES).filter_map(|engine| Some((engine, heard.slowdown(engine)?)));
     let near = known.filter(|(engine, times)| (times / build(*engine)).ln().abs() < 0.4);
     assert!(near.count() >= 50, "most engines are known");
 }
@@ -76,10 +76,10 @@
     play(&reports, &mut random, 20, |_| 1.0).await;
     let slowed = |engine| if engine == 7 { 4.0 } else { 1.0 };
     play(&reports, &mut random, 13, slowed).await;
-    let times = heard(&reports, 1).times(7);
+    let times = heard(&reports, 1).slowdown(7);
     assert!(times.is_some_and(|times| times > 2.0), "{times:?}");
     play(&reports, &mut random, 20, |_| 1.0).await;
-    let times = heard(&reports, 1).times(7);
+    let times = heard(&reports, 1).slowdown(7);
     assert!(times.is_none_or(|times| times < 1.5), "{times:?}");
 }
 
@@ -87,23 +87,23 @@
 #[tokio::test(start_paused = true)]
 async fn deviations_are_told_seldom_and_fade() {
     let reports = EngineReports::default();
-    assert!(reports.deviations(1).is_some());
-    assert!(reports.deviations(1).is_none());
-    assert!(reports.deviations(2).is_some(), "another front");
+    assert!(reports.deviations_for(1).is_some());
+    assert!(reports.deviations_for(1).is_none());
+    assert!(reports.deviations_for(2).is_some(), "another front");
     tokio::time::advance(Duration::from_millis(1_001)).await;
-    assert!(reports.deviations(1).is_some());
-    let heard = EngineBoard::default();
-    heard.hear(&[Deviation {
+    assert!(reports.deviations_for(1).is_some());
+    let heard = EngineTracker::default();
+    heard.apply_report(&[Deviation {
         replica: 7,
         log_ratio: 100,
     }]);
     assert!(
         heard
-            .times(7)
+            .slowdown(7)
             .is_some_and(|times| (times - 1_f64.exp()).abs() < 0.01)
     );
     tokio::time::advance(Duration::from_millis(2_501)).await;
-    assert_eq!(heard.times(7), None);
+    assert_eq!(heard.slowdown(7), None);
 }
 
 proptest! {
@@ -122,7 +122,7 @@
                     tell(&reports, engine as u32, *ratio);
                 }
             }
-            let told = reports.deviations(1).unwrap_or_default();
+            let told = reports.deviations_for(1).unwrap_or_default();
             assert!(told.len() <= 64);
             // One turn in eight times the time, or in none, moves an engine no further.
             assert!(told.iter().all(|deviation| deviation.log_ratio.abs() <= 347));
--- a/crates/stageyoke-store/tests/exchange_test.rs
+++ b/crates/stageyoke-store/tests/exchange_test.rs
@@ -1,14 +1,14 @@
 //! What a store concludes from the pages of a peer's digests.
 
 use rstest::rstest;
-use stageyoke_store::exchange::{Exchange, Page};
+use stageyoke_store::journal_sync::{DigestPage, JournalSync};
 use stageyoke_store::message::JournalPosition;
 
 const HELD: u64 = 7;
 const MISSING: u64 = 8;
 
-fn page(digests: &[u64], members_version: u64) -> Page<'_> {
-    Page {
+fn page(digests: &[u64], members_version: u64) -> DigestPage<'_> {
+    DigestPage {
         digests,
         next: JournalPosition {
             journal: 1,
@@ -20,11 +20,11 @@
     }
 }
 
-fn compared(page: Page<'_>) -> Exchange {
-    let mut exchange = Exchange::default();
-    exchange.take(page, |digest| digest == HELD);
-    exchange.note_end();
-    exchange.note_fetched();
+fn compared(page: DigestPage<'_>) -> JournalSync {
+    let mut exchange = JournalSync::default();
+    exchange.apply_page(page, |digest| digest == HELD);
+    exchange.mark_page_end();
+    exchange.mark_fetched();
     exchange
 }
 
@@ -36,35 +36,35 @@
 #[case::by_an_older_list(2, false)]
 fn a_peer_counts_by_the_list_that_it_goes_by(#[case] of_peer: u64, #[case] counts: bool) {
     let exchange = compared(page(&[HELD], of_peer));
-    assert!(exchange.caught_up());
-    assert_eq!(exchange.caught_up_under(3), counts);
-    assert_eq!(exchange.in_step(3), counts);
+    assert!(exchange.is_caught_up());
+    assert_eq!(exchange.is_caught_up_at(3), counts);
+    assert_eq!(exchange.is_in_sync(3), counts);
 }
 
 #[test]
 fn nobody_is_caught_up_with_while_something_is_missing() {
     let exchange = compared(page(&[HELD, MISSING], 3));
-    assert!(!exchange.caught_up_under(3) && !exchange.in_step(3));
+    assert!(!exchange.is_caught_up_at(3) && !exchange.is_in_sync(3));
 }
 
 /// What was seen once holds: a later page by an older list takes nothing back.
 #[test]
 fn an_older_page_takes_nothing_back() {
     let mut exchange = compared(page(&[HELD], 3));
-    exchange.take(page(&[HELD], 2), |_| true);
-    exchange.note_end();
-    assert!(exchange.caught_up_under(3));
+    exchange.apply_page(page(&[HELD], 2), |_| true);
+    exchange.mark_page_end();
+    assert!(exchange.is_caught_up_at(3));
 }
 
 /// A peer that vouches for nothing is no help, however much it holds.
 #[test]
 fn an_incomplete_peer_is_no_help() {
-    let incomplete = Page {
+    let incomplete = DigestPage {
         complete: false,
         ..page(&[HELD], 3)
     };
     let exchange = compared(incomplete);
-    assert!(!exchange.caught_up() && !exchange.in_step(3));
+    assert!(!exchange.is_caught_up() && !exchange.is_in_sync(3));
 }
 
 /// A spare that was complete once never caught up under a newer list while fronts wrote:
@@ -75,12 +75,12 @@
     let mut exchange = compared(page(&[HELD], 2));
     let mut held = vec![HELD];
     for newest in 10..14 {
-        exchange.missing(|digest| held.contains(&digest));
-        exchange.note_fetched();
+        exchange.missing_digests(|digest| held.contains(&digest));
+        exchange.mark_fetched();
         let digests = [newest];
-        exchange.take(page(&digests, 3), |digest| held.contains(&digest));
-        exchange.note_end();
+        exchange.apply_page(page(&digests, 3), |digest| held.contains(&digest));
+        exchange.mark_page_end();
         held.push(newest);
     }
-    assert!(exchange.caught_up_under(3));
+    assert!(exchange.is_caught_up_at(3));
 }
--- a/crates/stageyoke-store/tests/formation_test.rs
+++ b/crates/stageyoke-store/tests/formation_test.rs
@@ -7,7 +7,7 @@
 use nanoserde::SerBin;
 use rstest::rstest;
 use stageyoke_directory::{Member, MemberState, StoreGroups, Tolerance};
-use stageyoke_store::formation::{Formation, FormationStep, Registered};
+use stageyoke_store::formation::{Formation, FormationStep, Registrations};
 use stageyoke_types::Text;
 use tokio::time::Instant;
 
@@ -24,8 +24,8 @@
 #[derive(Default)]
 struct Service {
     stores: StoreGroups,
-    registered: Registered,
-    seen: Vec<(Instant, StoreGroups, Registered)>,
+    registered: Registrations,
+    seen: Vec<(Instant, StoreGroups, Registrations)>,
     writes: usize,
     refused: usize,
     bytes: usize,
@@ -53,8 +53,8 @@
     }
 
     /// What a store has heard by now.
-    fn heard(&self, now: Instant) -> (StoreGroups, Registered) {
-        let heard = |(at, _, _): &&(Instant, StoreGroups, Registered)| *at + GATHERED <= now;
+    fn heard(&self, now: Instant) -> (StoreGroups, Registrations) {
+        let heard = |(at, _, _): &&(Instant, StoreGroups, Registrations)| *at + GATHERED <= now;
         let newest = self.seen.iter().rev().find(heard);
         newest.map_or_else(Default::default, |(_, stores, registered)| {
             (stores.clone(), registered.clone())
@@ -109,13 +109,13 @@
             }
             let formation = host.formation.get_or_insert_with(Formation::new);
             let (stores, registered) = service.heard(now);
-            formation.follow(&registered);
+            formation.update_registrations(&registered);
             host.busy_until = now + TICK;
             if stores.formed() {
                 continue;
             }
-            match formation.next(&stores, &member(number), &tolerance) {
-                FormationStep::Rest => {}
+            match formation.next_step(&stores, &member(number), &tolerance) {
+                FormationStep::Wait => {}
                 FormationStep::Register => {
                     host.busy_until = now + WAY;
                     let own = member(number);
@@ -191,31 +191,31 @@
     let mut writes = 0;
     for _ in 0..200 {
         tokio::time::sleep(TICK).await;
-        let step = formation.next(&stores, &member(0), &tolerance);
+        let step = formation.next_step(&stores, &member(0), &tolerance);
         writes += usize::from(step == FormationStep::Register);
     }
     assert!((5..=8).contains(&writes), "{writes} in ten seconds");
     let registered = BTreeMap::from([(member(0).node, member(0))]);
-    formation.follow(&registered);
-    let step = formation.next(&stores, &member(0), &tolerance);
-    assert_eq!(step, FormationStep::Rest);
+    formation.update_registrations(&registered);
+    let step = formation.next_step(&stores, &member(0), &tolerance);
+    assert_eq!(step, FormationStep::Wait);
 }
 
 /// Stores that see the registrations alike form one after the other, if at all.
 #[tokio::test(start_paused = true)]
 async fn the_first_of_the_registered_forms_the_groups() {
-    let registered: Registered = (0..4)
+    let registered: Registrations = (0..4)
         .map(|number| (member(number).node, member(number)))
         .collect();
     let mut forms = Vec::new();
     for number in 0..4 {
         let mut formation = Formation::new();
-        formation.follow(&registered);
+        formation.update_registrations(&registered);
         let began = Instant::now();
         let stores = StoreGroups::default();
         let tolerance = Tolerance::of_machines(1);
         while !matches!(
-            formation.next(&stores, &member(number), &tolerance),
+            formation.next_step(&stores, &member(number), &tolerance),
             FormationStep::Form(_)
         ) {
             tokio::time::sleep(TICK).await;
--- a/crates/stageyoke-store/tests/group_test.rs
+++ b/crates/stageyoke-store/tests/group_test.rs
@@ -11,11 +11,11 @@
 use stageyoke_store::frame;
 use stageyoke_store::keeper::{Keeper, SilentSince};
 use stageyoke_store::message::{JournalPosition, Numbered, Record, Reply, Request};
-use stageyoke_store::rank_load::Ranked;
+use stageyoke_store::peer_sync::Peers;
+use stageyoke_store::rank_load::ServiceRank;
 use stageyoke_store::segment::DataFolder;
 use stageyoke_store::server;
-use stageyoke_store::sync::Peers;
-use stageyoke_store::{ChainOutcome, GroupError, Groups, StoreLimits};
+use stageyoke_store::{ChainOutcome, GroupClients, GroupError, StoreLimits};
 use stageyoke_types::{List, Text};
 use support::turn;
 use tempfile::TempDir;
@@ -96,7 +96,7 @@
     }))
 }
 
-async fn group_of(count: usize) -> (Vec<Store>, Rc<Groups>) {
+async fn group_of(count: usize) -> (Vec<Store>, Rc<GroupClients>) {
     let mut stores = Vec::new();
     for number in 0..count {
         stores.push(Store::start(number, true).await);
@@ -105,8 +105,8 @@
     for store in &stores {
         store.keeper.set_stores(members.clone());
     }
-    let group = Rc::new(Groups::new(Text::from("zone"), tolerance()));
-    group.follow(&members);
+    let group = Rc::new(GroupClients::new(Text::from("zone"), tolerance()));
+    group.update_stores(&members);
     (stores, group)
 }
 
@@ -139,12 +139,12 @@
         for store in &stores[..losses] {
             store.stop();
         }
-        let group = Groups::new(Text::from("zone"), Tolerance::of_machines(losses));
-        group.follow(&list(&stores));
+        let group = GroupClients::new(Text::from("zone"), Tolerance::of_machines(losses));
+        group.update_stores(&list(&stores));
         group.append(turn("one", ""), WITHIN).await.expect("kept");
         let next = group.append(turn("two", "one"), WITHIN).await;
         assert!(next.is_ok());
-        let ChainOutcome::Whole(parts) = group.chain(PROGRAM, &Text::from("two"), WITHIN).await
+        let ChainOutcome::Complete(parts) = group.chain(PROGRAM, &Text::from("two"), WITHIN).await
         else {
             panic!("the chain is whole");
         };
@@ -165,8 +165,8 @@
             .await
             .expect("two of three keep it");
         stores[1].stop();
-        let group = Groups::new(Text::from("zone"), tolerance());
-        group.follow(&list(&stores));
+        let group = GroupClients::new(Text::from("zone"), tolerance());
+        group.update_stores(&list(&stores));
         let record = turn("two", "one");
         let error = group
             .append(record, SHORT)
@@ -187,10 +187,10 @@
         stores[0].stop();
         stores[1].stop();
         // Only the listeners end here: a new group has no open connections.
-        let group = Groups::new(Text::from("zone"), tolerance());
-        group.follow(&list(&stores));
+        let group = GroupClients::new(Text::from("zone"), tolerance());
+        group.update_stores(&list(&stores));
         let outcome = group.chain(PROGRAM, &unknown, SHORT).await;
-        assert!(matches!(outcome, ChainOutcome::Unsure), "{outcome:?}");
+        assert!(matches!(outcome, ChainOutcome::Unknown), "{outcome:?}");
     })
     .await;
 }
@@ -204,11 +204,11 @@
         for store in &stores {
             store.keeper.set_stores(members.clone());
         }
-        let group = Groups::new(Text::from("zone"), tolerance());
-        group.follow(&members);
+        let group = GroupClients::new(Text::from("zone"), tolerance());
+        group.update_stores(&members);
         stores[0].stop();
         let outcome = group.chain(PROGRAM, &Text::from("unknown"), SHORT).await;
-        assert!(matches!(outcome, ChainOutcome::Unsure), "{outcome:?}");
+        assert!(matches!(outcome, ChainOutcome::Unknown), "{outcome:?}");
     })
     .await;
 }
@@ -224,8 +224,8 @@
                 group.append(reserve(&one), WITHIN),
                 group.append(reserve(&other), WITHIN)
             );
-            let first = first.expect("kept").total_without(&one);
-            let second = second.expect("kept").total_without(&other);
+            let first = first.expect("kept").total_excluding(&one);
+            let second = second.expect("kept").total_excluding(&other);
             let before = 200 * round;
             assert!(
                 first.max(second) >= before + 100,
@@ -264,7 +264,7 @@
         }
         assert!(!stores[last].keeper.complete());
         let peers = Rc::new(Peers::new(stores[last].keeper.clone(), tolerance()));
-        peers.follow(&stores[last].keeper.members());
+        peers.update_members(&stores[last].keeper.members());
         while !stores[last].keeper.complete() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -309,7 +309,7 @@
             .await
             .expect_err("stale");
         assert_eq!(error, GroupError::StaleMembers);
-        group.follow(&newer);
+        group.update_stores(&newer);
         group.append(turn("one", ""), WITHIN).await.expect("kept");
     })
     .await;
@@ -340,7 +340,7 @@
         group.append(reserve("one"), WITHIN).await.expect("kept");
         group.append_in_background(turn("two", ""), WITHIN);
         // What the service hands on later may be older than that.
-        group.follow(&grown);
+        group.update_stores(&grown);
         assert_eq!(group.stores().version, newest.version);
     })
     .await;
@@ -418,11 +418,11 @@
         let stores = Rc::new(StoreGroups::single(members.clone()));
         wiped.keeper.set_stores(stores);
         let peers = Rc::new(Peers::new(wiped.keeper.clone(), tolerance()));
-        peers.follow(&members);
+        peers.update_members(&members);
         tokio::time::sleep(Duration::from_millis(600)).await;
         assert!(!wiped.keeper.complete());
-        assert!(!peers.caught_up_with("store-1", 0));
-        assert!(!peers.in_step("store-1", 1));
+        assert!(!peers.is_caught_up_with("store-1", 0));
+        assert!(!peers.is_in_sync_with("store-1", 1));
     })
     .await;
 }
@@ -445,18 +445,18 @@
         spare.keeper.set_stores(list(&stores));
         spare.keeper.fill_up_for(Some(GroupNumber(0)));
         let peers = Rc::new(Peers::new(spare.keeper.clone(), tolerance()));
-        assert_eq!(peers.told_silent_for("store-2"), None);
-        peers.follow(&spare.keeper.members());
+        assert_eq!(peers.reported_silent_for("store-2"), None);
+        peers.update_members(&spare.keeper.members());
         let told = |least: u64| {
-            let told = peers.told_silent_for("store-2");
+            let told = peers.reported_silent_for("store-2");
             told.is_some_and(|told| told >= Duration::from_millis(least))
         };
-        while !(peers.caught_up_with("store-0", 0) && peers.caught_up_with("store-1", 0)) {
+        while !(peers.is_caught_up_with("store-0", 0) && peers.is_caught_up_with("store-1", 0)) {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         assert!(told(4_000) && !told(9_000));
         stores[1].keeper.set_silent_peers(Vec::new());
-        while peers.told_silent_for("store-2") != Some(Duration::ZERO) {
+        while peers.reported_silent_for("store-2") != Some(Duration::ZERO) {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     })
@@ -469,14 +469,14 @@
 async fn a_front_hears_whether_a_program_has_begun() {
     local(async {
         let (stores, group) = group_of(3).await;
-        let other = Groups::new(Text::from("zone"), tolerance());
-        other.follow(&list(&stores));
-        let ranked = Ranked {
+        let other = GroupClients::new(Text::from("zone"), tolerance());
+        other.update_stores(&list(&stores));
+        let ranked = ServiceRank {
             service: 5,
             rank: 2,
         };
-        other.load().ranks.tell_others();
-        other.load().ranks.begin(ranked);
+        other.load().ranks.enable_reports();
+        other.load().ranks.start_turn(ranked);
         other.append(reserve("one"), WITHIN).await.expect("kept");
         let asked = Text::from(PROGRAM);
         let unknown = Text::from("unknown");
@@ -487,14 +487,18 @@
             .await
             .expect("kept");
         let until = Instant::now() + WITHIN;
-        while group.load().ranks.as_urgent(ranked) != Some(1) && Instant::now() < until {
+        while group.load().ranks.in_flight_at_or_above(ranked) != Some(1) && Instant::now() < until
+        {
             other.append(reserve("two"), WITHIN).await.expect("kept");
-            assert_eq!(group.has_begun(&asked, WITHIN).await, Some(true));
-            assert_eq!(group.has_begun(&unknown, WITHIN).await, Some(false));
+            assert_eq!(group.has_started(&asked, WITHIN).await, Some(true));
+            assert_eq!(group.has_started(&unknown, WITHIN).await, Some(false));
         }
-        assert_eq!(group.load().ranks.as_urgent(ranked), Some(1));
-        let more_urgent = Ranked { rank: 1, ..ranked };
-        assert_ne!(group.load().ranks.as_urgent(more_urgent), Some(1));
+        assert_eq!(group.load().ranks.in_flight_at_or_above(ranked), Some(1));
+        let more_urgent = ServiceRank { rank: 1, ..ranked };
+        assert_ne!(
+            group.load().ranks.in_flight_at_or_above(more_urgent),
+            Some(1)
+        );
     })
     .await;
 }
@@ -503,9 +507,9 @@
 #[tokio::test]
 async fn without_stores_nothing_is_known_of_a_program() {
     local(async {
-        let group = Groups::new(Text::from("zone"), tolerance());
+        let group = GroupClients::new(Text::from("zone"), tolerance());
         let asked = Text::from(PROGRAM);
-        assert_eq!(group.has_begun(&asked, SHORT).await, None);
+        assert_eq!(group.has_started(&asked, SHORT).await, None);
     })
     .await;
 }
--- a/crates/stageyoke-store/tests/joint_lists_test.rs
+++ b/crates/stageyoke-store/tests/joint_lists_test.rs
@@ -10,15 +10,17 @@
 use std::time::Duration;
 
 use stageyoke_directory::{GroupNumber, Member, MemberState, Members, StoreGroups, Tolerance};
-use stageyoke_store::exchange::{Exchange, Page};
+use stageyoke_store::journal_sync::{DigestPage, JournalSync};
 use stageyoke_store::keeper::Keeper;
-use stageyoke_store::membership::{Oneself, PeerHealth, Step, decide, nothing_kept_yet};
+use stageyoke_store::membership::{
+    LocalMember, MembershipStep, PeerHealth, decide, has_never_stored,
+};
+use stageyoke_store::membership_state::PeerStatus;
 use stageyoke_store::message::{JournalPosition, Record, Reply, Request};
 use stageyoke_store::segment::{DataFolder, Place};
 use stageyoke_store::server;
-use stageyoke_store::standing::PeerStanding;
 use stageyoke_store::state::State;
-use stageyoke_store::{ChainOutcome, Groups, StoreLimits};
+use stageyoke_store::{ChainOutcome, GroupClients, StoreLimits};
 use stageyoke_types::{List, Text};
 use support::turn;
 use tokio::net::TcpListener;
@@ -183,8 +185,11 @@
             let mut listeners = listeners.into_iter();
             let first = listeners.next().expect("first");
             let held_up = listeners.collect::<Vec<_>>();
-            let front = Rc::new(Groups::new(Text::from("near"), Tolerance::of_machines(1)));
-            front.follow(&old);
+            let front = Rc::new(GroupClients::new(
+                Text::from("near"),
+                Tolerance::of_machines(1),
+            ));
+            front.update_stores(&old);
             let asking = front.clone();
             let asked = tokio::task::spawn_local(async move {
                 let turn = Text::from("one");
@@ -192,7 +197,7 @@
             });
             // The question waits in the first member's queue of connections.
             tokio::time::sleep(Duration::from_millis(10)).await;
-            front.follow(&new);
+            front.update_stores(&new);
             tokio::task::spawn_local(server::serve(stores[0].keeper.clone(), first));
             // Of the others that which misses the turn answers first.
             for (store, listener) in stores[1..].iter().zip(held_up) {
@@ -234,18 +239,18 @@
         list: List(list),
         before: List::default(),
     };
-    assert!(!nothing_kept_yet(&members, &tolerance));
-    let oneself = Oneself {
+    assert!(!has_never_stored(&members, &tolerance));
+    let oneself = LocalMember {
         entry: member(3, "10.0.0.3:7000", "one"),
         complete: true,
         caught_up: true,
         retiring: false,
         surplus: false,
-        room: true,
-        successor_near: false,
+        has_room: true,
+        successor_pending: false,
         fenced: true,
-        list_age: Duration::from_secs(5),
-        replace_after: Duration::from_secs(2),
+        member_list_age: Duration::from_secs(5),
+        replacement_timeout: Duration::from_secs(2),
     };
     let peers: Vec<PeerHealth> = (0..3)
         .map(|number| PeerHealth {
@@ -254,9 +259,9 @@
             caught_up: true,
         })
         .collect();
-    if let Step::Change(changed) = decide(&members, &oneself, &peers, &tolerance) {
+    if let MembershipStep::Change(changed) = decide(&members, &oneself, &peers, &tolerance) {
         assert!(
-            !nothing_kept_yet(&changed, &tolerance),
+            !has_never_stored(&changed, &tolerance),
             "every disk counts as complete by {changed:?}, also a lost one"
         );
     }
@@ -276,8 +281,8 @@
     (keeper, folder)
 }
 
-async fn caught_up(with: &Keeper, holder: &Keeper, version: u64) -> Exchange {
-    let mut exchange = Exchange::default();
+async fn caught_up(with: &Keeper, holder: &Keeper, version: u64) -> JournalSync {
+    let mut exchange = JournalSync::default();
     page_of(with, &mut exchange, holder, version).await;
     exchange
 }
@@ -287,8 +292,8 @@
 /// is gone still counts for the front, and the new disk vouches for what it never had.
 #[tokio::test]
 async fn an_answer_of_a_disk_that_is_gone_makes_no_quorum() {
-    use stageyoke_store::membership::caught_up_with_group;
-    use stageyoke_store::quorum::{AppendTally, ChainStep, ChainTally};
+    use stageyoke_store::membership::is_caught_up_with_group;
+    use stageyoke_store::quorum::{AppendTally, ChainLookup, ChainTally};
     LocalSet::new()
         .run_until(async {
             let tolerance = Tolerance::of_machines(1);
@@ -309,8 +314,8 @@
             let members = Rc::new(members);
             let mut tally = AppendTally::new(&members, &tolerance, false).expect("a quorum");
             let reply = before.answer(append(version, turn("one", ""))).await;
-            tally.take(&before.node, reply);
-            assert!(!tally.kept());
+            tally.add_reply(&before.node, reply);
+            assert!(!tally.is_stored());
             // The disk is lost; the store comes back, tells its new disk, and fills up.
             let (again, _again_folder) = keeper(0, false).await;
             again.set_stores(stores.clone());
@@ -331,20 +336,20 @@
             let version = version + 1;
             let of_second = caught_up(&second, &again, version).await;
             let of_third = caught_up(&third, &again, version).await;
-            assert!(caught_up_with_group(
+            assert!(is_caught_up_with_group(
                 &members,
                 &tolerance,
                 |node| match node {
-                    "store-1" => of_second.caught_up_under(version),
-                    "store-2" => of_third.caught_up_under(version),
+                    "store-1" => of_second.is_caught_up_at(version),
+                    "store-2" => of_third.is_caught_up_at(version),
                     _ => false,
                 }
             ));
             again.set_complete();
             // The front's repeat reaches the second member, within the same try.
             let reply = second.answer(append(front_version, turn("one", ""))).await;
-            tally.take(&second.node, reply);
-            let kept = tally.kept();
+            tally.add_reply(&second.node, reply);
+            let kept = tally.is_stored();
             // Another front asks.
             let mut asked = ChainTally::new(&members, &tolerance).expect("a quorum");
             for keeper in [&again, &third] {
@@ -355,9 +360,9 @@
                         turn: Text::from("one"),
                     })
                     .await;
-                asked.take(&keeper.node, reply);
+                asked.add_reply(&keeper.node, reply);
             }
-            let absent = asked.step() == ChainStep::Absent;
+            let absent = asked.step() == ChainLookup::Absent;
             assert!(!(kept && absent), "a kept turn is told as absent");
         })
         .await;
@@ -372,17 +377,17 @@
     for number in 0..6 {
         peer.add(&turn(&format!("turn-{number}"), ""), place, 0);
     }
-    let standing = PeerStanding {
+    let standing = PeerStatus {
         complete: true,
         members_version: 1,
     };
     let mut held: Vec<u64> = Vec::new();
-    let mut exchange = Exchange::default();
+    let mut exchange = JournalSync::default();
     let mut expired: Vec<Record> = (0..3)
         .map(|number| turn(&format!("turn-{number}"), ""))
         .collect();
     for _ in 0..20 {
-        exchange.note_fetched();
+        exchange.mark_fetched();
         let reply = peer.digests(exchange.position(), standing, Default::default());
         let Reply::Digests {
             digests,
@@ -395,25 +400,25 @@
         else {
             panic!("digests");
         };
-        let page = Page {
+        let page = DigestPage {
             digests: &digests,
             next,
             more,
             complete,
             members_version,
         };
-        exchange.take(page, |digest| held.contains(&digest));
+        exchange.apply_page(page, |digest| held.contains(&digest));
         peer.expire(std::mem::take(&mut expired), 1_000_000);
-        let missing = exchange.missing(|digest| held.contains(&digest));
+        let missing = exchange.missing_digests(|digest| held.contains(&digest));
         let (delivered, forgotten): (Vec<u64>, Vec<u64>) =
             missing.into_iter().partition(|digest| peer.holds(*digest));
         held.extend(delivered);
-        exchange.forget(peer.end().journal, &forgotten);
-        exchange.missing(|digest| held.contains(&digest));
-        exchange.note_end();
+        exchange.forget_expired(peer.end().journal, &forgotten);
+        exchange.missing_digests(|digest| held.contains(&digest));
+        exchange.mark_page_end();
     }
     assert!(
-        exchange.caught_up_under(1),
+        exchange.is_caught_up_at(1),
         "after 20 rounds it still waits for what nobody keeps any more"
     );
 }
@@ -454,14 +459,14 @@
         .await;
 }
 
-async fn page_of(peer: &Keeper, exchange: &mut Exchange, holder: &Keeper, version: u64) {
-    exchange.note_fetched();
+async fn page_of(peer: &Keeper, exchange: &mut JournalSync, holder: &Keeper, version: u64) {
+    exchange.mark_fetched();
     let question = Request::Digests {
         group: GroupNumber(0),
         members_version: version,
         node: holder.node.clone(),
         from: exchange.position(),
-        held: exchange.held(),
+        held: exchange.held_position(),
     };
     let Reply::Digests {
         digests,
@@ -474,15 +479,15 @@
     else {
         panic!("digests");
     };
-    let page = Page {
+    let page = DigestPage {
         digests: &digests,
         next,
         more,
         complete,
         members_version,
     };
-    exchange.take(page, |digest| holder.holds(digest));
-    exchange.note_end();
+    exchange.apply_page(page, |digest| holder.holds(digest));
+    exchange.mark_page_end();
 }
 
 /// The whole schedule: of {0 1 2} store 2 is cut off from the stores, store 3 takes its
@@ -490,8 +495,8 @@
 /// with it when 1 is compared with; the change is settled without it.
 #[tokio::test]
 async fn a_turn_kept_while_a_disk_is_slow_is_met_by_the_settled_list() {
-    use stageyoke_store::membership::{SharedEnd, fenced};
-    use stageyoke_store::quorum::{AppendTally, ChainStep, ChainTally};
+    use stageyoke_store::membership::{FencedJournalEnd, is_fenced};
+    use stageyoke_store::quorum::{AppendTally, ChainLookup, ChainTally};
     LocalSet::new()
         .run_until(async {
             let tolerance = Tolerance::of_machines(1);
@@ -522,7 +527,7 @@
             let old_list = Rc::new(old.clone());
             let mut tally = AppendTally::new(&old_list, &tolerance, false).expect("a quorum");
             let reply = third.answer(append(old.version, turn("one", ""))).await;
-            tally.take(&third.node, reply);
+            tally.add_reply(&third.node, reply);
             let appending = slow.clone();
             let version = old.version;
             let appended = tokio::task::spawn_local(async move {
@@ -537,19 +542,20 @@
                 saved(keeper).await;
             }
             saved(&joined).await;
-            let mut of_slow = Exchange::default();
-            let mut of_first = Exchange::default();
+            let mut of_slow = JournalSync::default();
+            let mut of_first = JournalSync::default();
             for _ in 0..2 {
                 page_of(&slow, &mut of_slow, &first, change.version).await;
                 page_of(&first, &mut of_first, &joined, change.version).await;
             }
-            let is_fenced = fenced(&change, &tolerance, |member| match member.node.as_str() {
+            let is_fenced = is_fenced(&change, &tolerance, |member| match member.node.as_str() {
                 "store-0" => first.complete() && first.stores_saved(),
-                "store-1" => of_slow.in_step(change.version),
+                "store-1" => of_slow.is_in_sync(change.version),
                 _ => false,
             });
-            let shared = SharedEnd::under(&change, None, is_fenced, first.end());
-            let holds = |node: &str| shared.is_some_and(|end| end.held_by(first.held_by(node)));
+            let shared = FencedJournalEnd::for_members(&change, None, is_fenced, first.end());
+            let holds =
+                |node: &str| shared.is_some_and(|end| end.is_covered_by(first.held_by(node)));
             let peers: Vec<PeerHealth> = [1, 2, 3]
                 .into_iter()
                 .map(|number| format!("store-{number}"))
@@ -559,21 +565,25 @@
                     node: Text::from(node),
                 })
                 .collect();
-            let oneself = Oneself {
+            let oneself = LocalMember {
                 entry: entry(0),
                 complete: first.complete(),
                 caught_up: true,
                 retiring: false,
                 surplus: false,
-                room: false,
-                successor_near: false,
+                has_room: false,
+                successor_pending: false,
                 fenced: is_fenced,
-                list_age: Duration::ZERO,
-                replace_after: Duration::from_secs(2),
+                member_list_age: Duration::ZERO,
+                replacement_timeout: Duration::from_secs(2),
             };
             let settled = change.settle();
             let step = decide(&change, &oneself, &peers, &tolerance);
-            assert_eq!(step, Step::Change(settled.clone()), "it is settled");
+            assert_eq!(
+                step,
+                MembershipStep::Change(settled.clone()),
+                "it is settled"
+            );
             let settled_stores = Rc::new(StoreGroups::single(settled.clone()));
             for keeper in [&first, &joined] {
                 keeper.set_stores(settled_stores.clone());
@@ -581,8 +591,8 @@
             // The disk of 1 is done.
             let collector = slow.clone();
             tokio::task::spawn_local(async move { collector.collect(results).await });
-            tally.take(&slow.node, appended.await.expect("answered"));
-            let kept = tally.kept();
+            tally.add_reply(&slow.node, appended.await.expect("answered"));
+            let kept = tally.is_stored();
             let settled_list = Rc::new(settled.clone());
             let mut asked = ChainTally::new(&settled_list, &tolerance).expect("a quorum");
             for keeper in [&first, &joined] {
@@ -591,9 +601,9 @@
                     members_version: settled.version,
                     turn: Text::from("one"),
                 };
-                asked.take(&keeper.node, keeper.answer(question).await);
+                asked.add_reply(&keeper.node, keeper.answer(question).await);
             }
-            let absent = asked.step() == ChainStep::Absent;
+            let absent = asked.step() == ChainLookup::Absent;
             assert!(
                 !(kept && absent),
                 "a kept turn is told as absent; no disk was lost"
--- a/crates/stageyoke-store/tests/load_test.rs
+++ b/crates/stageyoke-store/tests/load_test.rs
@@ -4,11 +4,11 @@
 
 use proptest::prelude::*;
 use stageyoke_directory::GroupNumber;
-use stageyoke_store::LoadBoard;
+use stageyoke_store::LoadTracker;
 use stageyoke_store::extension::RankLoad;
 use stageyoke_store::load::PlacedTurns;
 use stageyoke_store::message::{OthersReport, Placement};
-use stageyoke_store::rank_load::{RankBoard, RankReports, Ranked};
+use stageyoke_store::rank_load::{RankReports, RankTracker, ServiceRank};
 use stageyoke_types::List;
 
 fn at(replica: u32, lasting_milliseconds: u32) -> Placement {
@@ -19,7 +19,7 @@
 }
 
 fn count(placed: &mut PlacedTurns, turn: u64, replica: u32) -> u16 {
-    let others = placed.others(turn);
+    let others = placed.counts_excluding(turn);
     let entry = others.iter().find(|entry| entry.replica == replica);
     entry.map_or(0, |entry| entry.under_way)
 }
@@ -27,11 +27,11 @@
 #[tokio::test(start_paused = true)]
 async fn a_turn_counts_where_it_runs_until_it_ends() {
     let mut placed = PlacedTurns::default();
-    placed.begin(1, at(7, 4_000));
-    placed.begin(2, at(7, 4_000));
+    placed.start(1, at(7, 4_000));
+    placed.start(2, at(7, 4_000));
     assert_eq!(count(&mut placed, 9, 7), 2);
     assert_eq!(count(&mut placed, 1, 7), 1, "a turn is not beside itself");
-    placed.begin(2, at(8, 4_000));
+    placed.start(2, at(8, 4_000));
     assert_eq!(count(&mut placed, 9, 7), 1, "it runs elsewhere after all");
     assert_eq!(count(&mut placed, 9, 8), 1);
     placed.end(2);
@@ -43,8 +43,8 @@
 #[tokio::test(start_paused = true)]
 async fn turns_without_an_end_fade() {
     let mut placed = PlacedTurns::default();
-    placed.begin(1, at(7, 1_000));
-    placed.begin(2, at(7, 5_000));
+    placed.start(1, at(7, 1_000));
+    placed.start(2, at(7, 5_000));
     tokio::time::advance(Duration::from_millis(1_300)).await;
     assert_eq!(count(&mut placed, 9, 7), 1);
     assert_eq!(placed.len(), 1);
@@ -55,7 +55,7 @@
 async fn the_count_has_a_bound() {
     let mut placed = PlacedTurns::default();
     for turn in 0..30_000 {
-        placed.begin(turn, at(7, 60_000));
+        placed.start(turn, at(7, 60_000));
     }
     assert_eq!(placed.len(), 20_000);
 }
@@ -63,19 +63,19 @@
 /// What a store told of its group is used for a moment only.
 #[tokio::test(start_paused = true)]
 async fn what_was_told_gets_old() {
-    let board = LoadBoard::new(1);
+    let board = LoadTracker::new(1);
     let mut placed = PlacedTurns::default();
-    placed.begin(1, at(7, 4_000));
+    placed.start(1, at(7, 4_000));
     let told = OthersReport {
-        placed: placed.others(9),
+        placed: placed.counts_excluding(9),
         ..Default::default()
     };
-    board.hear(GroupNumber(2), told);
-    assert_eq!(board.placed(GroupNumber(2), 7), Some(1));
-    assert_eq!(board.placed(GroupNumber(2), 8), Some(0));
-    assert_eq!(board.placed(GroupNumber(1), 7), None);
+    board.apply_report(GroupNumber(2), told);
+    assert_eq!(board.placed_turns(GroupNumber(2), 7), Some(1));
+    assert_eq!(board.placed_turns(GroupNumber(2), 8), Some(0));
+    assert_eq!(board.placed_turns(GroupNumber(1), 7), None);
     tokio::time::advance(Duration::from_millis(400)).await;
-    assert_eq!(board.placed(GroupNumber(2), 7), None);
+    assert_eq!(board.placed_turns(GroupNumber(2), 7), None);
 }
 
 proptest! {
@@ -89,7 +89,7 @@
         for (turn, replica, begins) in steps {
             match begins {
                 true => {
-                    placed.begin(turn, at(replica, 60_000));
+                    placed.start(turn, at(replica, 60_000));
                     model.insert(turn, replica);
                 }
                 false => {
@@ -105,7 +105,7 @@
     }
 }
 
-const RANKED: Ranked = Ranked {
+const RANKED: ServiceRank = ServiceRank {
     service: 5,
     rank: 1,
 };
@@ -123,46 +123,54 @@
 #[tokio::test(start_paused = true)]
 async fn a_store_sums_what_all_other_fronts_have_under_way() {
     let reports = RankReports::default();
-    reports.take(1, List(vec![rank_load(0, 2), rank_load(1, 3)]));
-    reports.take(2, List(vec![rank_load(1, 4)]));
-    reports.take(1, List(vec![rank_load(1, 5)]));
-    assert_eq!(reports.of_others(2).0, [rank_load(1, 5)]);
-    assert_eq!(reports.of_others(3).0, [rank_load(1, 9)]);
+    reports.update(1, List(vec![rank_load(0, 2), rank_load(1, 3)]));
+    reports.update(2, List(vec![rank_load(1, 4)]));
+    reports.update(1, List(vec![rank_load(1, 5)]));
+    assert_eq!(reports.report_excluding(2).0, [rank_load(1, 5)]);
+    assert_eq!(reports.report_excluding(3).0, [rank_load(1, 9)]);
     tokio::time::advance(Duration::from_millis(501)).await;
-    assert!(reports.of_others(3).is_empty());
+    assert!(reports.report_excluding(3).is_empty());
 }
 
 /// A front counts its own turns beside what it was told, of its rank or a more urgent
 /// one, for as long as that is young.
 #[tokio::test(start_paused = true)]
 async fn a_front_adds_its_own_to_what_it_was_told() {
-    let board = RankBoard::default();
-    board.begin(RANKED);
-    assert_eq!(board.as_urgent(RANKED), None, "nothing was told yet");
-    board.hear(&List(vec![
+    let board = RankTracker::default();
+    board.start_turn(RANKED);
+    assert_eq!(
+        board.in_flight_at_or_above(RANKED),
+        None,
+        "nothing was told yet"
+    );
+    board.apply_report(&List(vec![
         rank_load(0, 2),
         rank_load(1, 3),
         rank_load(2, 9),
     ]));
-    assert_eq!(board.as_urgent(RANKED), Some(6));
-    board.end(RANKED);
-    assert_eq!(board.as_urgent(RANKED), Some(5));
+    assert_eq!(board.in_flight_at_or_above(RANKED), Some(6));
+    board.end_turn(RANKED);
+    assert_eq!(board.in_flight_at_or_above(RANKED), Some(5));
     tokio::time::advance(Duration::from_millis(501)).await;
-    assert_eq!(board.as_urgent(RANKED), None, "told too long ago");
+    assert_eq!(
+        board.in_flight_at_or_above(RANKED),
+        None,
+        "told too long ago"
+    );
 }
 
 /// Reports stay small with many services and ranks: the fullest are told.
 #[test]
 fn a_report_of_ranks_has_a_bound() {
-    let board = RankBoard::default();
+    let board = RankTracker::default();
     for service in 0..1_000 {
         for _ in 0..=service % 7 {
-            board.begin(Ranked { service, rank: 0 });
+            board.start_turn(ServiceRank { service, rank: 0 });
         }
     }
-    assert_eq!(board.told(), None, "nobody asked for it");
-    board.tell_others();
-    let told = board.told().unwrap_or_default();
+    assert_eq!(board.report(), None, "nobody asked for it");
+    board.enable_reports();
+    let told = board.report().unwrap_or_default();
     assert_eq!(told.len(), 32);
     assert!(told.iter().all(|load| load.under_way == 7));
 }
--- a/crates/stageyoke-store/tests/membership_test.rs
+++ b/crates/stageyoke-store/tests/membership_test.rs
@@ -5,9 +5,10 @@
 use rstest::rstest;
 use stageyoke_directory::{Member, MemberState, Members, Tolerance};
 use stageyoke_store::membership::{
-    OTHERS_STEP_AFTER, Oneself, PeerHealth, REMOVE_AFTER, SURPLUS_AFTER, Step, decide, fenced,
+    LocalMember, MembershipStep, PeerHealth, SILENT_REMOVAL_TIMEOUT, STEP_TAKEOVER_DELAY,
+    SURPLUS_LEAVE_DELAY, decide, is_fenced,
 };
-use stageyoke_store::waiting::Waiting;
+use stageyoke_store::wait_reason::WaitReason;
 use stageyoke_types::Text;
 
 const REPLACE_AFTER: Duration = Duration::from_secs(2);
@@ -30,18 +31,18 @@
     (0..count).fold(Members::default(), |list, number| list.with(member(number)))
 }
 
-fn oneself(number: usize) -> Oneself {
-    Oneself {
+fn oneself(number: usize) -> LocalMember {
+    LocalMember {
         entry: member(number),
         complete: true,
         caught_up: true,
         retiring: false,
         surplus: false,
-        room: true,
-        successor_near: false,
+        has_room: true,
+        successor_pending: false,
         fenced: true,
-        list_age: Duration::ZERO,
-        replace_after: REPLACE_AFTER,
+        member_list_age: Duration::ZERO,
+        replacement_timeout: REPLACE_AFTER,
     }
 }
 
@@ -68,7 +69,7 @@
 }
 
 fn dead(number: usize) -> (usize, Duration) {
-    (number, REMOVE_AFTER + Duration::from_millis(1))
+    (number, SILENT_REMOVAL_TIMEOUT + Duration::from_millis(1))
 }
 
 fn gone(number: usize) -> (usize, Duration) {
@@ -78,15 +79,15 @@
 #[test]
 fn the_first_complete_store_founds_the_group() {
     let founded = decide(&Members::default(), &oneself(0), &[], &tolerance());
-    assert_eq!(founded, Step::Change(members(1)));
-    let wiped = Oneself {
+    assert_eq!(founded, MembershipStep::Change(members(1)));
+    let wiped = LocalMember {
         complete: false,
         ..oneself(0)
     };
     let later = decide(&Members::default(), &wiped, &[], &tolerance());
     assert_eq!(
         later,
-        Step::Rest(Waiting::Completeness),
+        MembershipStep::Wait(WaitReason::Completeness),
         "a store that may lack something never does"
     );
 }
@@ -95,53 +96,53 @@
 /// before any store had founded the group; nobody ever did.
 #[test]
 fn a_store_killed_before_the_group_was_founded_founds_it_later() {
-    let again = Oneself {
+    let again = LocalMember {
         complete: true,
         caught_up: false,
         ..oneself(0)
     };
     let founded = decide(&Members::default(), &again, &[], &tolerance());
-    assert_eq!(founded, Step::Change(members(1)));
+    assert_eq!(founded, MembershipStep::Change(members(1)));
 }
 
 /// A list too small for a write quorum never let anything be kept: whoever
 /// comes then is complete, and need not catch up.
 #[test]
 fn before_a_quorum_exists_nothing_is_missed() {
-    use stageyoke_store::membership::nothing_kept_yet;
-    assert!(nothing_kept_yet(&Members::default(), &tolerance()));
-    assert!(nothing_kept_yet(&members(1), &tolerance()));
-    assert!(!nothing_kept_yet(&members(2), &tolerance()));
-    let second = Oneself {
+    use stageyoke_store::membership::has_never_stored;
+    assert!(has_never_stored(&Members::default(), &tolerance()));
+    assert!(has_never_stored(&members(1), &tolerance()));
+    assert!(!has_never_stored(&members(2), &tolerance()));
+    let second = LocalMember {
         caught_up: false,
         ..oneself(1)
     };
     let step = decide(&members(1), &second, &[], &tolerance());
-    assert_eq!(step, Step::Change(members(2)));
+    assert_eq!(step, MembershipStep::Change(members(2)));
 }
 
 #[rstest]
 #[case(true, true, true, None)]
-#[case::its_disk_may_lack_something(false, true, true, Some(Waiting::Completeness))]
-#[case::it_has_not_caught_up(true, false, true, Some(Waiting::CatchUp))]
-#[case::the_group_is_whole(true, true, false, Some(Waiting::Room))]
+#[case::its_disk_may_lack_something(false, true, true, Some(WaitReason::Completeness))]
+#[case::it_has_not_caught_up(true, false, true, Some(WaitReason::CatchUp))]
+#[case::the_group_is_whole(true, true, false, Some(WaitReason::Room))]
 fn a_new_store_joins_once_it_has_caught_up(
     #[case] complete: bool,
     #[case] caught_up: bool,
     #[case] room: bool,
-    #[case] waits_for: Option<Waiting>,
+    #[case] waits_for: Option<WaitReason>,
 ) {
     let list = members(3);
-    let newcomer = Oneself {
+    let newcomer = LocalMember {
         complete,
         caught_up,
-        room,
+        has_room: room,
         ..oneself(3)
     };
     let step = decide(&list, &newcomer, &peers(&list, 3, &[], &[]), &tolerance());
     let expected = match waits_for {
-        None => Step::Change(list.changing_to(members(4).list)),
-        Some(waiting) => Step::Rest(waiting),
+        None => MembershipStep::Change(list.changing_to(members(4).list)),
+        Some(waiting) => MembershipStep::Wait(waiting),
     };
     assert_eq!(step, expected);
 }
@@ -159,7 +160,7 @@
         &peers(&list, 3, &[quiet], &[]),
         &tolerance(),
     );
-    assert_eq!(step, Step::Rest(Waiting::Successor));
+    assert_eq!(step, MembershipStep::Wait(WaitReason::Successor));
 }
 
 /// While a change is under way a new store waits: the list changes one time after the
@@ -170,7 +171,7 @@
     let during = list.changing_to(members(4).list);
     let health = peers(&during, 4, &[], &[]);
     let step = decide(&during, &oneself(4), &health, &tolerance());
-    assert_eq!(step, Step::Rest(Waiting::Settling));
+    assert_eq!(step, MembershipStep::Wait(WaitReason::Settling));
 }
 
 /// A lost member counted for the quorums until it was removed, some 10 s after its loss;
@@ -185,14 +186,14 @@
     let health = peers(&list, count, &[gone(1)], &[]);
     let step = decide(&list, &successor, &health, &tolerance());
     let replaced = list.list_replacing("store-1", member(count));
-    assert_eq!(step, Step::Change(list.changing_to(replaced)));
+    assert_eq!(step, MembershipStep::Change(list.changing_to(replaced)));
     let short = peers(&list, count, &[(1, REPLACE_AFTER)], &[]);
-    let whole = Oneself {
-        room: false,
+    let whole = LocalMember {
+        has_room: false,
         ..successor
     };
     let step = decide(&list, &whole, &short, &tolerance());
-    let waits = Step::Rest(Waiting::Room);
+    let waits = MembershipStep::Wait(WaitReason::Room);
     assert_eq!(step, waits, "not silent for long enough");
 }
 
@@ -204,20 +205,23 @@
     let health = peers(&during, 4, &[gone(3), gone(1)], &[]);
     let step = decide(&during, &oneself(4), &health, &tolerance());
     let replaced = during.list_replacing("store-3", member(4));
-    assert_eq!(step, Step::Change(during.changing_to(replaced.clone())));
+    assert_eq!(
+        step,
+        MembershipStep::Change(during.changing_to(replaced.clone()))
+    );
     assert_eq!(during.changing_to(replaced).before, list.list);
 }
 
 #[test]
 fn a_new_address_is_told() {
-    let moved = Oneself {
+    let moved = LocalMember {
         entry: Member {
             address: Text::from("10.0.9.9:7000"),
             ..member(1)
         },
         ..oneself(1)
     };
-    let Step::Change(next) = decide(&members(3), &moved, &[], &tolerance()) else {
+    let MembershipStep::Change(next) = decide(&members(3), &moved, &[], &tolerance()) else {
         panic!("the list changes");
     };
     assert_eq!(next.list[1].address.as_str(), "10.0.9.9:7000");
@@ -229,18 +233,18 @@
 #[rstest]
 #[case::all_hold_it(true, true, &[], None)]
 #[case::a_quorum_holds_it(true, true, &[2], None)]
-#[case::too_few_hold_it(true, true, &[2, 3], Some(Waiting::Holders))]
-#[case::an_older_list_may_be_in_use(true, false, &[], Some(Waiting::Fence))]
-#[case::its_disk_may_lack_something(false, true, &[], Some(Waiting::Completeness))]
+#[case::too_few_hold_it(true, true, &[2, 3], Some(WaitReason::Holders))]
+#[case::an_older_list_may_be_in_use(true, false, &[], Some(WaitReason::Fence))]
+#[case::its_disk_may_lack_something(false, true, &[], Some(WaitReason::Completeness))]
 fn a_change_is_settled_once_the_new_members_hold_everything(
     #[case] complete: bool,
     #[case] fenced: bool,
     #[case] behind: &[usize],
-    #[case] waits_for: Option<Waiting>,
+    #[case] waits_for: Option<WaitReason>,
 ) {
     let list = members(3);
     let during = list.changing_to(list.list_replacing("store-1", member(3)));
-    let proposer = Oneself {
+    let proposer = LocalMember {
         complete,
         fenced,
         ..oneself(0)
@@ -248,8 +252,8 @@
     let health = peers(&during, 0, &[dead(1)], behind);
     let step = decide(&during, &proposer, &health, &tolerance());
     let expected = match waits_for {
-        None => Step::Change(during.settle()),
-        Some(waiting) => Step::Rest(waiting),
+        None => MembershipStep::Change(during.settle()),
+        Some(waiting) => MembershipStep::Wait(waiting),
     };
     assert_eq!(step, expected);
 }
@@ -260,9 +264,9 @@
 fn holders_are_members_of_the_new_list() {
     let list = members(3);
     let during = list.changing_to(list.list_without("store-2"));
-    let leaver = Oneself {
+    let leaver = LocalMember {
         retiring: true,
-        list_age: OTHERS_STEP_AFTER,
+        member_list_age: STEP_TAKEOVER_DELAY,
         ..oneself(2)
     };
     let step = decide(
@@ -271,10 +275,10 @@
         &peers(&during, 2, &[], &[1]),
         &tolerance(),
     );
-    let waits = Step::Rest(Waiting::Holders);
+    let waits = MembershipStep::Wait(WaitReason::Holders);
     assert_eq!(step, waits, "store-0 alone holds it");
     let step = decide(&during, &leaver, &peers(&during, 2, &[], &[]), &tolerance());
-    assert_eq!(step, Step::Change(during.settle()));
+    assert_eq!(step, MembershipStep::Change(during.settle()));
 }
 
 /// The fence of a change is as many of the members before as every write quorum meets.
@@ -294,7 +298,7 @@
         let mut numbers = in_step.iter();
         numbers.any(|number| member.node == format!("store-{number}").into())
     };
-    assert_eq!(fenced(&during, &tolerance(), known), expected);
+    assert_eq!(is_fenced(&during, &tolerance(), known), expected);
 }
 
 /// The first of the list that lives makes the step, the others once it has not.
@@ -305,13 +309,13 @@
     let health = peers(&during, 1, &[], &[]);
     let second = oneself(1);
     let step = decide(&during, &second, &health, &tolerance());
-    assert_eq!(step, Step::Rest(Waiting::FirstMember));
+    assert_eq!(step, MembershipStep::Wait(WaitReason::FirstMember));
     let first_is_silent = peers(&during, 1, &[gone(0)], &[]);
-    let settled = Step::Change(during.settle());
+    let settled = MembershipStep::Change(during.settle());
     let step = decide(&during, &second, &first_is_silent, &tolerance());
     assert_eq!(step, settled);
-    let later = Oneself {
-        list_age: OTHERS_STEP_AFTER,
+    let later = LocalMember {
+        member_list_age: STEP_TAKEOVER_DELAY,
         ..second
     };
     assert_eq!(decide(&during, &later, &health, &tolerance()), settled);
@@ -336,15 +340,15 @@
     }
     let during = list.changing_to(next);
     let silent: Vec<(usize, Duration)> = silent.iter().map(|number| gone(*number)).collect();
-    let proposer = Oneself {
+    let proposer = LocalMember {
         fenced: false,
-        list_age: OTHERS_STEP_AFTER,
+        member_list_age: STEP_TAKEOVER_DELAY,
         ..oneself(2)
     };
     let health = peers(&during, 2, &silent, &[]);
     let expected = match given_up {
-        true => Step::Change(during.give_up()),
-        false => Step::Rest(Waiting::Fence),
+        true => MembershipStep::Change(during.give_up()),
+        false => MembershipStep::Wait(WaitReason::Fence),
     };
     assert_eq!(decide(&during, &proposer, &health, &tolerance()), expected);
 }
@@ -368,18 +372,18 @@
     let expected = match removed {
         Some(number) => {
             let rest = list.list_without(&format!("store-{number}"));
-            Step::Change(list.changing_to(rest))
+            MembershipStep::Change(list.changing_to(rest))
         }
-        None if silent.is_empty() => Step::Rest(Waiting::Nothing),
-        None => Step::Rest(Waiting::Successor),
+        None if silent.is_empty() => MembershipStep::Wait(WaitReason::Nothing),
+        None => MembershipStep::Wait(WaitReason::Successor),
     };
     assert_eq!(step, expected);
-    let wiped = Oneself {
+    let wiped = LocalMember {
         complete: false,
         ..oneself(0)
     };
     let step = decide(&list, &wiped, &health, &tolerance());
-    let waits = Step::Rest(Waiting::Completeness);
+    let waits = MembershipStep::Wait(WaitReason::Completeness);
     assert_eq!(step, waits, "a store that may lack something");
 }
 
@@ -389,12 +393,12 @@
 fn a_dead_member_stays_listed_for_a_successor_that_is_near() {
     let list = members(3);
     let health = peers(&list, 0, &[dead(2)], &[]);
-    let waits = Oneself {
-        successor_near: true,
+    let waits = LocalMember {
+        successor_pending: true,
         ..oneself(0)
     };
     let step = decide(&list, &waits, &health, &tolerance());
-    assert_eq!(step, Step::Rest(Waiting::Successor));
+    assert_eq!(step, MembershipStep::Wait(WaitReason::Successor));
 }
 
 /// Two disks may be lost: of two dead members the longer silent goes first, the other
@@ -405,23 +409,23 @@
 fn two_dead_members_go_one_after_the_other() {
     let tolerance = Tolerance::of_machines(2);
     let list = members(5);
-    let longer = (3, REMOVE_AFTER + Duration::from_secs(1));
+    let longer = (3, SILENT_REMOVAL_TIMEOUT + Duration::from_secs(1));
     let health = peers(&list, 0, &[dead(2), longer], &[]);
-    let Step::Change(during) = decide(&list, &oneself(0), &health, &tolerance) else {
+    let MembershipStep::Change(during) = decide(&list, &oneself(0), &health, &tolerance) else {
         panic!("it is removed");
     };
     assert_eq!(during, list.changing_to(list.list_without("store-3")));
     let health = peers(&during, 0, &[dead(2), longer], &[2, 3]);
     let step = decide(&during, &oneself(0), &health, &tolerance);
     let rest = during.settle();
-    assert_eq!(step, Step::Change(rest.clone()));
+    assert_eq!(step, MembershipStep::Change(rest.clone()));
     let health = peers(&rest, 0, &[dead(2)], &[]);
     let step = decide(&rest, &oneself(0), &health, &tolerance);
     let without = rest.changing_to(rest.list_without("store-2"));
-    assert_eq!(step, Step::Change(without));
+    assert_eq!(step, MembershipStep::Change(without));
     let three = peers(&list, 0, &[dead(1), dead(2), dead(3)], &[]);
     let step = decide(&list, &oneself(0), &three, &tolerance);
-    let waits = Step::Rest(Waiting::Successor);
+    let waits = MembershipStep::Wait(WaitReason::Successor);
     assert_eq!(step, waits, "more than may be lost");
 }
 
@@ -442,7 +446,7 @@
     #[case] begins: bool,
 ) {
     let list = members(count);
-    let leaver = Oneself {
+    let leaver = LocalMember {
         retiring: true,
         ..oneself(count - 1)
     };
@@ -450,8 +454,8 @@
     let health = peers(&list, count - 1, &silent, &[]);
     let rest = list.list_without(&format!("store-{}", count - 1));
     let expected = match begins {
-        true => Step::BeginLeaving(list.changing_to(rest)),
-        false => Step::Rest(Waiting::OthersToServe),
+        true => MembershipStep::StartLeaving(list.changing_to(rest)),
+        false => MembershipStep::Wait(WaitReason::OthersToServe),
     };
     assert_eq!(decide(&list, &leaver, &health, &tolerance()), expected);
 }
@@ -463,31 +467,31 @@
     let list = members(3);
     let rest = list.changing_to(list.list_without("store-1")).settle();
     let health = peers(&rest, 1, &[], &[]);
-    let back = Oneself {
+    let back = LocalMember {
         caught_up: false,
         ..oneself(1)
     };
     let step = decide(&rest, &back, &health, &tolerance());
-    assert_eq!(step, Step::Rest(Waiting::CatchUp));
+    assert_eq!(step, MembershipStep::Wait(WaitReason::CatchUp));
     let step = decide(&rest, &oneself(1), &health, &tolerance());
     let mut whole = rest.list.clone();
     whole.push(member(1));
-    assert_eq!(step, Step::Change(rest.changing_to(whole)));
+    assert_eq!(step, MembershipStep::Change(rest.changing_to(whole)));
 }
 
 /// A member too many leaves as one that retires.
 #[test]
 fn a_member_too_many_becomes_a_spare() {
     let list = members(4);
-    let mut extra = Oneself {
+    let mut extra = LocalMember {
         surplus: true,
         ..oneself(3)
     };
     let health = peers(&list, 3, &[], &[]);
     let step = decide(&list, &extra, &health, &tolerance());
-    assert_eq!(step, Step::Rest(Waiting::Nothing));
-    extra.list_age = SURPLUS_AFTER;
+    assert_eq!(step, MembershipStep::Wait(WaitReason::Nothing));
+    extra.member_list_age = SURPLUS_LEAVE_DELAY;
     let step = decide(&list, &extra, &health, &tolerance());
     let rest = list.changing_to(members(3).list);
-    assert_eq!(step, Step::BeginLeaving(rest));
+    assert_eq!(step, MembershipStep::StartLeaving(rest));
 }
