--- a/crates/stageyoke-store/tests/owners_test.rs
+++ b/crates/stageyoke-store/tests/owners_test.rs
@@ -10,10 +10,10 @@
 use stageyoke_directory::{Member, MemberState, Members, StoreGroups, Tolerance};
 use stageyoke_policy::bucket::Limit;
 use stageyoke_policy::quota::{Question, QuotaLedger, Verdict};
-use stageyoke_store::Groups;
+use stageyoke_store::GroupClients;
 use stageyoke_store::frame;
 use stageyoke_store::message::{Numbered, QuotaAnswer, Reply, Request};
-use stageyoke_store::owners::Owners;
+use stageyoke_store::quota_owners::QuotaOwners;
 use stageyoke_types::Text;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
@@ -117,7 +117,7 @@
     stores: HashMap<Text, Rc<Counting>>,
     /// In the order in which they count for the tenant.
     owners: Vec<Rc<Counting>>,
-    groups: Groups,
+    groups: GroupClients,
 }
 
 async fn world() -> World {
@@ -139,11 +139,11 @@
     }
     let map = StoreGroups::single(members);
     let tolerance = Tolerance::of_machines(machines);
-    let owners = Owners::tolerating(tolerance.clone());
-    owners.follow(&map);
-    let owners = owners.of(QUESTION.tenant);
-    let groups = Groups::new(Text::from("zone"), tolerance);
-    groups.follow(&Rc::new(map));
+    let owners = QuotaOwners::with_tolerance(tolerance.clone());
+    owners.update_stores(&map);
+    let owners = owners.owners_of(QUESTION.tenant);
+    let groups = GroupClients::new(Text::from("zone"), tolerance);
+    groups.update_stores(&Rc::new(map));
     World {
         owners: owners.iter().map(|node| stores[node].clone()).collect(),
         stores,
@@ -155,7 +155,7 @@
     async fn granted(&self, asked: usize) -> usize {
         let mut granted = 0;
         for _ in 0..asked {
-            let ruling = self.groups.ask_quota(QUESTION).await;
+            let ruling = self.groups.request_quota(QUESTION).await;
             granted += usize::from(ruling.is_some_and(|it| it.verdict == Verdict::Granted));
         }
         granted
@@ -240,7 +240,11 @@
         assert_eq!(world.owners[0].told.get(), 4);
         // The other one dies: the new one decides as well as it can, at once.
         world.owners[1].silent.set(true);
-        let ruling = world.groups.ask_quota(QUESTION).await.expect("a ruling");
+        let ruling = world
+            .groups
+            .request_quota(QUESTION)
+            .await
+            .expect("a ruling");
         assert_ne!(ruling.verdict, Verdict::Unknown);
     };
     LocalSet::new().run_until(test).await;
@@ -270,7 +274,7 @@
             zones,
             ..Tolerance::of_machines(machines)
         };
-        let owners = Owners::tolerating(tolerance);
+        let owners = QuotaOwners::with_tolerance(tolerance);
         let mut members = Members::default();
         for number in 0..12 {
             let placed = member(number, "127.0.0.1:1");
@@ -279,9 +283,9 @@
                 ..placed
             });
         }
-        owners.follow(&StoreGroups::single(members));
+        owners.update_stores(&StoreGroups::single(members));
         for tenant in 0..200_u64 {
-            let counting = owners.counting(tenant.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+            let counting = owners.counting_owners(tenant.wrapping_mul(0x9e37_79b9_7f4a_7c15));
             assert_eq!(counting.len(), wanted);
             let number = |node: &Text| node["store-".len()..].parse::<usize>().expect("number");
             let mut places: Vec<usize> = counting.iter().map(|node| number(node) / 4).collect();
@@ -298,9 +302,13 @@
     let test = async {
         let world = world().await;
         assert_eq!(world.granted(9).await, 9);
-        let last = world.groups.ask_quota(QUESTION).await.expect("a ruling");
+        let last = world
+            .groups
+            .request_quota(QUESTION)
+            .await
+            .expect("a ruling");
         assert_eq!(world.granted(1).await, 0);
-        world.groups.give_back(&last.grant.expect("a grant"));
+        world.groups.refund(&last.grant.expect("a grant"));
         tokio::time::sleep(Duration::from_millis(50)).await;
         assert_eq!(world.granted(5).await, 1);
     };
@@ -310,8 +318,8 @@
 #[tokio::test]
 async fn without_any_store_nothing_is_known() {
     let test = async {
-        let groups = Groups::new(Text::from("zone"), Tolerance::of_machines(1));
-        assert_eq!(groups.ask_quota(QUESTION).await, None);
+        let groups = GroupClients::new(Text::from("zone"), Tolerance::of_machines(1));
+        assert_eq!(groups.request_quota(QUESTION).await, None);
     };
     LocalSet::new().run_until(test).await;
 }
@@ -336,14 +344,14 @@
         for number in 0..stores {
             members = members.with(member(number, "127.0.0.1:1"));
         }
-        let (before, after) = (Owners::default(), Owners::default());
-        before.follow(&StoreGroups::single(members.clone()));
+        let (before, after) = (QuotaOwners::default(), QuotaOwners::default());
+        before.update_stores(&StoreGroups::single(members.clone()));
         let gone = Text::from(format!("store-{gone}"));
-        after.follow(&StoreGroups::single(members.changing_to(members.list_without(&gone)).settle()));
+        after.update_stores(&StoreGroups::single(members.changing_to(members.list_without(&gone)).settle()));
         for tenant in tenants {
-            let mut expected = before.of(tenant);
+            let mut expected = before.owners_of(tenant);
             expected.retain(|node| *node != gone);
-            let found = after.of(tenant);
+            let found = after.owners_of(tenant);
             prop_assert_eq!(&found[..expected.len().min(found.len())], &expected[..]);
         }
     }
@@ -355,12 +363,12 @@
         for number in 0..11 {
             members = members.with(member(number, "127.0.0.1:1"));
         }
-        let owners = Owners::default();
-        owners.follow(&StoreGroups::single(members));
+        let owners = QuotaOwners::default();
+        owners.update_stores(&StoreGroups::single(members));
         let mut counts: HashMap<Text, usize> = HashMap::new();
         for number in 0..1_100_u64 {
             let tenant = seed.wrapping_add(number.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-            *counts.entry(owners.of(tenant)[0].clone()).or_default() += 1;
+            *counts.entry(owners.owners_of(tenant)[0].clone()).or_default() += 1;
         }
         prop_assert!(counts.values().all(|count| (40..200).contains(count)), "{:?}", counts);
     }
--- a/crates/stageyoke-store/tests/pace_test.rs
+++ b/crates/stageyoke-store/tests/pace_test.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use stageyoke_directory::GroupNumber;
 use stageyoke_store::message::{PaceEntry, SlowReplica};
-use stageyoke_store::pace::{HeardPaces, Paces, UntoldPaces};
+use stageyoke_store::replica_latency::{LatencyStats, ReceivedSlowdowns, UnreportedLatencies};
 
 fn entry(replica: u32, ratio: f64, answers: u16) -> PaceEntry {
     PaceEntry {
@@ -22,17 +22,21 @@
 #[case::most(7)]
 #[tokio::test(start_paused = true)]
 async fn slow_replicas_are_told_apart_from_the_usual_ones(#[case] slow: u32) {
-    let mut paces = Paces::default();
+    let mut paces = LatencyStats::default();
     let entries: Vec<PaceEntry> = (0..10)
         .map(|replica| entry(replica, if replica < slow { 6.0 } else { 1.2 }, 5))
         .collect();
-    paces.take(&entries);
-    let mut told: Vec<u32> = paces.slow().iter().map(|slow| slow.replica).collect();
+    paces.add(&entries);
+    let mut told: Vec<u32> = paces
+        .slow_replicas()
+        .iter()
+        .map(|slow| slow.replica)
+        .collect();
     told.sort_unstable();
     assert_eq!(told, (0..slow).collect::<Vec<u32>>());
     assert!(
         paces
-            .slow()
+            .slow_replicas()
             .iter()
             .all(|slow| (45..=55).contains(&slow.tenths))
     );
@@ -42,44 +46,47 @@
 /// by few answers until they are fast or old.
 #[tokio::test(start_paused = true)]
 async fn few_answers_make_no_replica_slow_and_keep_a_slow_one() {
-    let mut paces = Paces::default();
+    let mut paces = LatencyStats::default();
     let usual: Vec<PaceEntry> = (1..10).map(|replica| entry(replica, 1.0, 50)).collect();
-    paces.take(&usual);
-    paces.take(&[entry(0, 8.0, 1)]);
-    assert!(paces.slow().is_empty());
-    paces.take(&[entry(0, 8.0, 4)]);
-    assert_eq!(paces.slow().len(), 1);
+    paces.add(&usual);
+    paces.add(&[entry(0, 8.0, 1)]);
+    assert!(paces.slow_replicas().is_empty());
+    paces.add(&[entry(0, 8.0, 4)]);
+    assert_eq!(paces.slow_replicas().len(), 1);
     tokio::time::advance(Duration::from_millis(1200)).await;
-    assert_eq!(paces.slow().len(), 1, "one answer of five is left");
-    paces.take(&[entry(0, 1.0, 6)]);
-    assert!(paces.slow().is_empty(), "it is fast again");
-    paces.take(&[entry(0, 8.0, 20)]);
-    assert_eq!(paces.slow().len(), 1);
+    assert_eq!(paces.slow_replicas().len(), 1, "one answer of five is left");
+    paces.add(&[entry(0, 1.0, 6)]);
+    assert!(paces.slow_replicas().is_empty(), "it is fast again");
+    paces.add(&[entry(0, 8.0, 20)]);
+    assert_eq!(paces.slow_replicas().len(), 1);
     tokio::time::advance(Duration::from_secs(5)).await;
-    paces.take(&usual);
-    assert!(paces.slow().is_empty(), "what was seen of it is too old");
+    paces.add(&usual);
+    assert!(
+        paces.slow_replicas().is_empty(),
+        "what was seen of it is too old"
+    );
 }
 
 #[tokio::test(start_paused = true)]
 async fn what_is_heard_of_a_slow_replica_fades() {
-    let heard = HeardPaces::default();
-    heard.hear(&[SlowReplica {
+    let heard = ReceivedSlowdowns::default();
+    heard.apply_report(&[SlowReplica {
         replica: 1,
         tenths: 35,
     }]);
-    assert_eq!((heard.slowness(1), heard.slowness(2)), (3.5, 1.0));
+    assert_eq!((heard.slowdown(1), heard.slowdown(2)), (3.5, 1.0));
     tokio::time::advance(Duration::from_millis(1100)).await;
-    assert_eq!(heard.slowness(1), 1.0);
+    assert_eq!(heard.slowdown(1), 1.0);
 }
 
 /// Each group is told each answer once, and only of so many replicas.
 #[test]
 fn answers_are_told_once_to_each_group() {
-    let untold = UntoldPaces::default();
+    let untold = UnreportedLatencies::default();
     let groups = [GroupNumber(0), GroupNumber(1)];
     assert!(groups.iter().all(|group| untold.take(*group).is_empty()));
-    untold.note(7, 2.0);
-    untold.note(7, 2.0);
+    untold.record(7, 2.0);
+    untold.record(7, 2.0);
     let told = untold.take(groups[0]);
     assert_eq!(
         (told[0].replica, told[0].answers, told[0].log_ratio),
@@ -88,16 +95,16 @@
     assert!(untold.take(groups[0]).is_empty());
     assert_eq!(untold.take(groups[1]).len(), 1);
     for replica in 0..1_000 {
-        untold.note(replica, 1.0);
+        untold.record(replica, 1.0);
     }
     assert_eq!(untold.take(groups[0]).len(), 64);
 }
 
 #[tokio::test(start_paused = true)]
 async fn replicas_that_are_gone_are_forgotten_at_the_bound() {
-    let mut paces = Paces::default();
+    let mut paces = LatencyStats::default();
     for replica in 0..100_000 {
-        paces.take(&[entry(replica, 1.0, 1)]);
+        paces.add(&[entry(replica, 1.0, 1)]);
         assert!(paces.len() <= 20_000);
     }
 }
--- a/crates/stageyoke-store/tests/plans/store.rs
+++ b/crates/stageyoke-store/tests/plans/store.rs
@@ -8,14 +8,15 @@
 use stageyoke_directory::groups::{group_in_need, group_size};
 use stageyoke_directory::{GroupNumber, Member, Members, StoreGroups, Tolerance};
 use stageyoke_store::completeness::Completeness;
-use stageyoke_store::exchange::{Exchange, Page};
+use stageyoke_store::journal_sync::{DigestPage, JournalSync};
 use stageyoke_store::membership::{
-    Oneself, PeerHealth, SharedEnd, Step, caught_up_with_group, decide, fenced,
+    FencedJournalEnd, LocalMember, MembershipStep, PeerHealth, decide, is_caught_up_with_group,
+    is_fenced,
 };
+use stageyoke_store::membership_state::MembershipState;
 use stageyoke_store::message::{ChainPart, JournalPosition, Record, RecordDigest, Reply};
 use stageyoke_store::segment::Place;
-use stageyoke_store::spare::LOST_AFTER;
-use stageyoke_store::standing::Standing;
+use stageyoke_store::spare::LOST_MEMBER_TIMEOUT;
 use stageyoke_store::state::{ChainStep, State};
 use stageyoke_types::{List, Text};
 
@@ -56,7 +57,7 @@
     /// Whether the operator wants it emptied.
     pub retiring: bool,
     /// How long a member may be silent before it is replaced.
-    pub replace_after: Duration,
+    pub replacement_timeout: Duration,
     /// Whether the retirement is complete: the machine is gone.
     pub gone: bool,
     disk: Disk,
@@ -64,14 +65,14 @@
     lives: u64,
     unsynced: Vec<Unsynced>,
     state: State,
-    standing: Standing,
-    exchanges: HashMap<Text, Exchange>,
+    standing: MembershipState,
+    exchanges: HashMap<Text, JournalSync>,
     held_by: HashMap<Text, JournalPosition>,
     heard_at: HashMap<Text, u64>,
     members_since: u64,
     spare_since: Option<u64>,
     spare_heard_at: Option<u64>,
-    shared_end: Option<SharedEnd>,
+    shared_end: Option<FencedJournalEnd>,
     target: Option<GroupNumber>,
 }
 
@@ -113,11 +114,11 @@
             shunned_until: 0,
             refuses_until: 0,
             retiring: false,
-            replace_after: LOST_AFTER,
+            replacement_timeout: LOST_MEMBER_TIMEOUT,
             gone: false,
             unsynced: Vec::new(),
             state: State::new(identity),
-            standing: Standing::new(entry.node.clone(), disk.stores.clone(), completeness),
+            standing: MembershipState::new(entry.node.clone(), disk.stores.clone(), completeness),
             exchanges: HashMap::new(),
             held_by: HashMap::new(),
             heard_at: HashMap::new(),
@@ -139,7 +140,7 @@
 
     /// Whether its disk may lack what it acknowledged: it counts as lost.
     pub fn incomplete(&self) -> bool {
-        !self.standing.complete()
+        !self.standing.is_complete()
     }
 
     /// The group that it is a member of.
@@ -179,7 +180,7 @@
         }
         let node = self.entry.node.clone();
         let disk = &self.disk;
-        self.standing = Standing::new(node, disk.stores.clone(), disk.completeness);
+        self.standing = MembershipState::new(node, disk.stores.clone(), disk.completeness);
         self.exchanges.clear();
         self.held_by.clear();
         self.heard_at.clear();
@@ -237,7 +238,7 @@
             _ => List::default(),
         };
         Reply::Kept {
-            complete: self.standing.complete_for(group),
+            complete: self.standing.is_complete_for(group),
             ledger,
             others: Default::default(),
             directory: Default::default(),
@@ -256,7 +257,7 @@
             .collect();
         let missing = parts.last().map_or(turn, |last| &last.previous).clone();
         Reply::Chain {
-            complete: self.standing.vouches_for(group, members_version),
+            complete: self.standing.is_authoritative_for(group, members_version),
             parts: List(parts),
             missing,
         }
@@ -265,10 +266,10 @@
     /// The service told of these groups.
     pub fn follow(&mut self, stores: &Rc<StoreGroups>, now: u64) {
         let before = self.standing.members();
-        if self.standing.follow(stores.clone()) {
+        if self.standing.update_stores(stores.clone()) {
             self.disk.stores = (**stores).clone();
         }
-        let mark = self.standing.settle_completeness();
+        let mark = self.standing.resolve_completeness();
         self.mark(mark);
         self.follow_members(&before, now);
     }
@@ -311,7 +312,7 @@
         let node = self.entry.node.clone();
         self.target = size.and_then(|size| group_in_need(&stores, size, &node, lives));
         let before = self.standing.members();
-        self.standing.fill_up_for(self.target);
+        self.standing.backfill_for(self.target);
         self.follow_members(&before, now);
     }
 
@@ -333,7 +334,7 @@
     pub fn missing_of(&mut self, peer: &Text) -> Vec<RecordDigest> {
         let state = &self.state;
         let exchange = self.exchanges.entry(peer.clone()).or_default();
-        exchange.missing(|digest| state.holds(digest))
+        exchange.missing_digests(|digest| state.holds(digest))
     }
 
     /// Records by their digests; `deliver` says which can be read.
@@ -355,8 +356,8 @@
     /// held.
     pub fn question(&mut self, peer: &Text) -> (JournalPosition, JournalPosition) {
         let exchange = self.exchanges.entry(peer.clone()).or_default();
-        exchange.note_fetched();
-        (exchange.position(), exchange.held())
+        exchange.mark_fetched();
+        (exchange.position(), exchange.held_position())
     }
 
     /// Answers a comparison that another store asks as this group's.
@@ -373,7 +374,7 @@
         if self.standing.members().get(asker).is_none() {
             self.spare_heard_at = Some(now);
         }
-        let standing = self.standing.for_peer(group, members_version);
+        let standing = self.standing.peer_status(group, members_version);
         let reply = self.state.digests(from, standing, Default::default());
         let Reply::Digests {
             next,
@@ -403,14 +404,14 @@
 
     /// Whether another goes by a newer list of its group.
     pub fn is_behind(&self, group: GroupNumber, members_version: u64) -> bool {
-        self.standing.is_behind(group, members_version)
+        self.standing.is_lagging(group, members_version)
     }
 
     /// Takes a peer's digests.
     pub fn compared(&mut self, peer: &Text, answered: &Answered, now: u64) {
         self.heard_at.insert(peer.clone(), now);
         let state = &self.state;
-        let page = Page {
+        let page = DigestPage {
             digests: &answered.digests,
             next: answered.next,
             more: answered.more,
@@ -418,45 +419,48 @@
             members_version: answered.members_version,
         };
         let exchange = self.exchanges.entry(peer.clone()).or_default();
-        exchange.take(page, |digest| state.holds(digest));
+        exchange.apply_page(page, |digest| state.holds(digest));
     }
 
     /// Whether it compares again at once: it is incomplete, no member, or its list changes.
     pub fn in_haste(&self) -> bool {
         let members = self.standing.members();
         let is_member = members.get(&self.entry.node).is_some();
-        !is_member || !self.standing.complete() || !members.settled()
+        !is_member || !self.standing.is_complete() || !members.settled()
     }
 
     /// Whether it fetches at once what it lacks of this peer.
     pub fn filling(&self, peer: &Text) -> bool {
-        let caught_up = self.exchanges.get(peer).is_some_and(Exchange::caught_up);
-        !self.standing.complete() || !caught_up
+        let caught_up = self
+            .exchanges
+            .get(peer)
+            .is_some_and(JournalSync::is_caught_up);
+        !self.standing.is_complete() || !caught_up
     }
 
     /// The end of a round with a peer.
     pub fn end_round(&mut self, peer: &Text, tolerance: &Tolerance) {
         self.missing_of(peer);
         if let Some(exchange) = self.exchanges.get_mut(peer) {
-            exchange.note_end();
+            exchange.mark_page_end();
         }
         let listed = self.standing.members();
         let listed = listed.get(&self.entry.node);
         let names_disk = listed.is_none_or(|own| own.disk == self.entry.disk);
-        let waits = !self.standing.complete() && names_disk;
-        if waits && self.caught_up_with_group(tolerance) {
+        let waits = !self.standing.is_complete() && names_disk;
+        if waits && self.is_caught_up_with_group(tolerance) {
             let mark = self.standing.declare_complete();
             self.mark(mark);
         }
     }
 
-    fn caught_up_with_group(&self, tolerance: &Tolerance) -> bool {
+    fn is_caught_up_with_group(&self, tolerance: &Tolerance) -> bool {
         let members = self.standing.members();
         let caught_up = |node: &str| {
             let exchange = self.exchanges.get(node);
-            exchange.is_some_and(|exchange| exchange.caught_up_under(members.version))
+            exchange.is_some_and(|exchange| exchange.is_caught_up_at(members.version))
         };
-        caught_up_with_group(&members, tolerance, caught_up)
+        is_caught_up_with_group(&members, tolerance, caught_up)
     }
 
     fn silent_for(&self, node: &str, now: u64) -> Duration {
@@ -470,7 +474,7 @@
         now: u64,
         tolerance: &Tolerance,
         left_out: LeftOut,
-    ) -> (Option<GroupNumber>, Step) {
+    ) -> (Option<GroupNumber>, MembershipStep) {
         let members = self.standing.members();
         let others = members.all();
         let others: Vec<&Member> = others
@@ -478,7 +482,7 @@
             .collect();
         let fenced = left_out.fence || self.fenced(&members, tolerance);
         let end = self.state.end();
-        let shared_end = SharedEnd::under(&members, self.shared_end, fenced, end);
+        let shared_end = FencedJournalEnd::for_members(&members, self.shared_end, fenced, end);
         self.shared_end = shared_end;
         let held_by = |node: &Text| self.held_by.get(node).copied().unwrap_or_default();
         let peers: Vec<PeerHealth> = others
@@ -487,31 +491,31 @@
                 node: member.node.clone(),
                 silent_for: self.silent_for(&member.node, now),
                 caught_up: left_out.holders
-                    || shared_end.is_some_and(|end| end.held_by(held_by(&member.node))),
+                    || shared_end.is_some_and(|end| end.is_covered_by(held_by(&member.node))),
             })
             .collect();
-        let oneself = Oneself {
+        let oneself = LocalMember {
             entry: self.entry.clone(),
-            complete: self.standing.complete(),
-            caught_up: self.caught_up_with_group(tolerance),
+            complete: self.standing.is_complete(),
+            caught_up: self.is_caught_up_with_group(tolerance),
             retiring: self.retiring,
             surplus: self.surplus(&members, now, tolerance),
-            room: self.room(&members, now, tolerance),
-            successor_near: self.spare_heard_at.is_some_and(|at| at + SPARE_NEAR > now),
+            has_room: self.room(&members, now, tolerance),
+            successor_pending: self.spare_heard_at.is_some_and(|at| at + SPARE_NEAR > now),
             fenced,
-            list_age: Duration::from_millis(now - self.members_since),
-            replace_after: self.replace_after,
+            member_list_age: Duration::from_millis(now - self.members_since),
+            replacement_timeout: self.replacement_timeout,
         };
         let step = decide(&members, &oneself, &peers, tolerance);
         (self.standing.group(), step)
     }
 
     fn fenced(&self, members: &Members, tolerance: &Tolerance) -> bool {
-        fenced(members, tolerance, |member| {
+        is_fenced(members, tolerance, |member| {
             let exchange = self.exchanges.get(&member.node);
             match member.node == self.entry.node {
-                true => self.standing.complete(),
-                false => exchange.is_some_and(|exchange| exchange.in_step(members.version)),
+                true => self.standing.is_complete(),
+                false => exchange.is_some_and(|exchange| exchange.is_in_sync(members.version)),
             }
         })
     }
@@ -519,7 +523,7 @@
     fn room(&self, members: &Members, now: u64, tolerance: &Tolerance) -> bool {
         let stores = self.standing.stores();
         let asked_for = self.spare_since.map_or(0, |since| now - since);
-        let has_asked = Duration::from_millis(asked_for) >= LOST_AFTER;
+        let has_asked = Duration::from_millis(asked_for) >= LOST_MEMBER_TIMEOUT;
         let all: Vec<Member> = stores.members().cloned().collect();
         let size = group_size(tolerance, &all);
         let smaller = size.is_some_and(|size| members.list.len() < size);
@@ -538,7 +542,7 @@
             .iter()
             .filter(|member| member.node != self.entry.node);
         let mut silent = others.map(|member| self.silent_for(&member.node, now));
-        let all_there = silent.all(|silent| silent < LOST_AFTER);
+        let all_there = silent.all(|silent| silent < LOST_MEMBER_TIMEOUT);
         stores.groups.len() > 1 && is_newest && larger && all_there
     }
 
--- a/crates/stageyoke-store/tests/plans/world.rs
+++ b/crates/stageyoke-store/tests/plans/world.rs
@@ -12,10 +12,10 @@
 use stageyoke_directory::{
     GroupNumber, Member, MemberState, Members, StoreGroups, Tolerance, write_quorum,
 };
-use stageyoke_store::membership::Step;
+use stageyoke_store::membership::MembershipStep;
 use stageyoke_store::message::{Record, Reply, TurnRecord};
-use stageyoke_store::quorum::{AppendTally, ChainStep, ChainTally};
-use stageyoke_store::spare::{LOST_AFTER, replace_after};
+use stageyoke_store::quorum::{AppendTally, ChainLookup, ChainTally};
+use stageyoke_store::spare::{LOST_MEMBER_TIMEOUT, replacement_timeout};
 use stageyoke_types::{Blob, Text};
 
 use super::losses::{Losses, Presence};
@@ -222,7 +222,7 @@
 /// How long a member may be silent before it is replaced.
 fn silence_borne(plan: &Plan) -> Duration {
     let catch_up = plan.catch_up.map(Duration::from_millis);
-    catch_up.map_or(LOST_AFTER, replace_after)
+    catch_up.map_or(LOST_MEMBER_TIMEOUT, replacement_timeout)
 }
 
 impl Outcome {
@@ -247,7 +247,7 @@
             .map(|number| Store::new(entry(number), number as u64 + 1, true))
             .collect();
         for store in &mut stores {
-            store.replace_after = silence_borne(plan);
+            store.replacement_timeout = silence_borne(plan);
             store.follow(&registry, 0);
         }
         let borne = machines_borne(&registry, plan.losses);
@@ -490,7 +490,7 @@
     fn add(&mut self) {
         let number = self.stores.len();
         let mut store = Store::new(entry(number), number as u64 + 1, false);
-        store.replace_after = silence_borne(&self.plan);
+        store.replacement_timeout = silence_borne(&self.plan);
         self.stores.push(store);
         self.begin(number);
         if let Some(losses) = &mut self.losses {
@@ -654,8 +654,8 @@
         let now = self.now;
         let (group, step) = self.stores[store].step(now, &tolerance, left_out);
         let members = match step {
-            Step::Rest(_) => return,
-            Step::Change(members) | Step::BeginLeaving(members) => members,
+            MembershipStep::Wait(_) => return,
+            MembershipStep::Change(members) | MembershipStep::StartLeaving(members) => members,
         };
         let Some(group) = group else {
             return;
@@ -930,21 +930,23 @@
     fn answer(&mut self, call: usize, node: &Text, reply: Reply) {
         match self.calls[call].work.take() {
             Some(Work::Append { record, mut tally }) => {
-                tally.take(node, reply);
-                match tally.kept() {
+                tally.add_reply(node, reply);
+                match tally.is_stored() {
                     true => self.kept(call, &record, tally),
                     false => self.calls[call].work = Some(Work::Append { record, tally }),
                 }
             }
             Some(Work::Chain { turn, mut tally }) => {
-                tally.take(node, reply);
+                tally.add_reply(node, reply);
                 match tally.step() {
-                    ChainStep::Parts { .. } => self.service.serve(call),
-                    ChainStep::Absent => {
+                    ChainLookup::Parts { .. } => self.service.serve(call),
+                    ChainLookup::Absent => {
                         self.service.serve(call);
                         self.absent(call, &turn);
                     }
-                    ChainStep::Unsure => self.calls[call].work = Some(Work::Chain { turn, tally }),
+                    ChainLookup::Unknown => {
+                        self.calls[call].work = Some(Work::Chain { turn, tally })
+                    }
                 }
             }
             None => {}
@@ -975,7 +977,7 @@
                     .filter(before)
                     .map(|kept| u64::from(kept.amount))
                     .sum();
-                let seen = ledger.total_without(turn);
+                let seen = ledger.total_excluding(turn);
                 if seen < due {
                     let breach = format!("{at}: {turn} of {program} sees {seen} of {due} reserved");
                     self.outcome.breaches.push(breach);
--- a/crates/stageyoke-store/tests/relay_test.rs
+++ b/crates/stageyoke-store/tests/relay_test.rs
@@ -7,7 +7,7 @@
 use stageyoke_directory::{
     Acceptable, DirectoryRelay, Member, MemberState, Members, StoreGroups, Tolerance,
 };
-use stageyoke_store::Groups;
+use stageyoke_store::GroupClients;
 use stageyoke_store::frame;
 use stageyoke_store::message::{CopyMark, Numbered, Reply, Request};
 use stageyoke_store::relay::StoreRelay;
@@ -84,8 +84,8 @@
         });
         tokio::task::spawn_local(tell(listener, *age));
     }
-    let groups = Groups::new(Text::from("near"), Tolerance::of_machines(1));
-    groups.follow(&Rc::new(StoreGroups::single(members)));
+    let groups = GroupClients::new(Text::from("near"), Tolerance::of_machines(1));
+    groups.update_stores(&Rc::new(StoreGroups::single(members)));
     StoreRelay::new(Rc::new(groups), Vec::new())
 }
 
@@ -151,7 +151,7 @@
         }
         let seed = addresses[0].to_string();
         for _ in 0..60 {
-            let groups = Groups::new(Text::from("near"), Tolerance::of_machines(1));
+            let groups = GroupClients::new(Text::from("near"), Tolerance::of_machines(1));
             let relay = StoreRelay::new(Rc::new(groups), vec![seed.clone()]);
             let told = relay.items(ACCEPTABLE).await;
             assert!(told.is_some());
--- a/crates/stageyoke-store/tests/state_test.rs
+++ b/crates/stageyoke-store/tests/state_test.rs
@@ -5,18 +5,18 @@
 use stageyoke_store::extension::Extensions;
 use stageyoke_store::frame::{self, Encoded};
 use stageyoke_store::keys::TurnKey;
+use stageyoke_store::membership_state::PeerStatus;
 use stageyoke_store::message::{
     JournalPosition, LedgerEntry, Numbered, Record, Reply, Request, TurnRecord,
 };
 use stageyoke_store::segment::Place;
-use stageyoke_store::standing::PeerStanding;
 use stageyoke_store::state::{ChainStep, State};
 use stageyoke_types::{Blob, Text};
 
 const RETENTION: u32 = 60;
 const LONG_AFTER: u64 = 1_000;
 
-const VOUCHING: PeerStanding = PeerStanding {
+const VOUCHING: PeerStatus = PeerStatus {
     complete: true,
     members_version: 1,
 };
@@ -113,8 +113,8 @@
         entry("b", 100, false),
         entry("c", 7, false),
     ]);
-    assert_eq!(view.total_without("none"), 42);
-    assert_eq!(view.total_without("c"), 35);
+    assert_eq!(view.total_excluding("none"), 42);
+    assert_eq!(view.total_excluding("c"), 35);
 }
 
 #[test]
--- a/crates/stageyoke-store/tests/versions_test.rs
+++ b/crates/stageyoke-store/tests/versions_test.rs
@@ -172,7 +172,7 @@
             "store-0".into(),
             data,
             recovered,
-            stageyoke_store::StoreLimits::within(64 << 20),
+            stageyoke_store::StoreLimits::for_memory(64 << 20),
         )
         .expect("keeper");
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
