--- a/crates/stageyoke-front/src/admission.rs
+++ b/crates/stageyoke-front/src/admission.rs
@@ -1,75 +1,130 @@
-//! Lets requests in: their route, and who makes them, by the configuration in force
-//! or a newer one.
+//! Programs' first turns: whether one begins now, by what all fronts have under way at
+//! its service's engines (`stageyoke_policy::contention`).
 
-use std::rc::Rc;
+use std::cell::RefCell;
+use std::collections::{HashSet, VecDeque};
+use std::time::Duration;
 
-use hyper::http::request::Parts;
-use stageyoke_directory::{Interpreter, KeyValueService, Route, RouteTable};
-use stageyoke_types::ErrorKind;
+use stageyoke_directory::{Interpreter, KeyValueService, RouteKind};
+use stageyoke_observe::{RequestStory as Summary, metrics};
+use stageyoke_policy::contention::{Contention, Verdict};
+use stageyoke_types::hash::{mix, unit};
+use stageyoke_types::{ErrorKind, Text};
 
-use crate::access::{Access, Locked};
-use crate::answer::Failure;
+use crate::failure::Failure;
 use crate::front::Front;
-use crate::handler::{AFTER_RECOVERY, LOOK_UP_WITHIN};
-use crate::request::host;
+use crate::handler::RequestContext;
+use crate::placement::hash_text;
 
-/// What a configuration says of a request that it allows.
-pub(crate) struct Admitted {
-    pub(crate) routes: Rc<RouteTable>,
-    pub(crate) route: Route,
-    pub(crate) access: Access,
-}
+/// How long stores are asked whether a program has begun: a few ways to a store and back.
+const ASK_WITHIN: Duration = Duration::from_millis(60);
+/// Programs that a front remembers as begun, 40 bytes each; stores know the others.
+const MAX_STARTED_PROGRAMS: usize = 4096;
 
-/// Why a configuration doesn't allow a request.
-enum Barred {
-    NoRoute,
-    Locked(Locked),
+/// Programs of which this front has lately offered a turn to an engine.
+#[derive(Debug, Default)]
+pub struct StartedPrograms {
+    known: RefCell<HashSet<u64>>,
+    order: RefCell<VecDeque<u64>>,
 }
 
-fn admitted_by(routes: Rc<RouteTable>, head: &Parts) -> Result<Admitted, Barred> {
-    let host = host(&head.headers).unwrap_or_default();
-    let route = routes.find(host, head.uri.path()).ok_or(Barred::NoRoute)?;
-    let access = Access::of(&routes, route, &head.headers).map_err(Barred::Locked)?;
-    let route = route.clone();
-    Ok(Admitted {
-        routes,
-        route,
-        access,
-    })
+impl StartedPrograms {
+    /// A turn of the program is offered to an engine.
+    pub fn record(&self, program: &str) {
+        let key = hash_text(program);
+        if !self.known.borrow_mut().insert(key) {
+            return;
+        }
+        let mut order = self.order.borrow_mut();
+        order.push_back(key);
+        if order.len() > MAX_STARTED_PROGRAMS
+            && let Some(oldest) = order.pop_front()
+        {
+            self.known.borrow_mut().remove(&oldest);
+        }
+    }
+
+    /// Whether a turn of it was offered.
+    pub fn has_started(&self, program: &str) -> bool {
+        self.known.borrow().contains(&hash_text(program))
+    }
+
+    /// Programs that are remembered.
+    pub fn len(&self) -> usize {
+        self.known.borrow().len()
+    }
+
+    /// Whether none is.
+    pub fn is_empty(&self) -> bool {
+        self.known.borrow().is_empty()
+    }
 }
 
 impl<S: KeyValueService + 'static, I: Interpreter + 'static> Front<S, I> {
-    /// Finds the route of a request and who makes it. What the configuration in
-    /// force doesn't allow, a newer one may: that it doesn't is only known from a
-    /// read that began after the request arrived.
-    pub(crate) async fn admit(&self, head: &Parts) -> Result<Admitted, Failure> {
-        let unknown =
-            Failure::come_back(ErrorKind::Unavailable, "no_configuration", AFTER_RECOVERY);
-        let routes = self.mirror.view().routes.clone();
-        if let Some(routes) = routes
-            && let Ok(admitted) = admitted_by(routes, head)
-        {
-            return Ok(admitted);
-        }
-        let changes = self.mirror.changes();
-        let confirmed = tokio::time::timeout(LOOK_UP_WITHIN, self.mirror.confirm_routes()).await;
-        if self.mirror.changes() != changes {
-            // No event of the mirror tells of a configuration that is read here: metrics
-            // and the lines on tenants stayed behind until the next change.
-            self.follow();
+    /// Turns away a program's first turn while engines have no room for it: before
+    /// anything is reserved or counted for it, so that it has not run. Where the counts
+    /// are not known, or no store can tell whether the program has begun, it goes on.
+    pub(crate) async fn admit_program(
+        &self,
+        context: &RequestContext,
+        summary: &mut Summary,
+    ) -> Result<(), Failure> {
+        let program = &context.identifiers.program;
+        if !self.may_reject(context) || self.started_programs.has_started(program) {
+            return Ok(());
         }
-        if !matches!(confirmed, Ok(Ok(()))) {
-            let cause = "route_not_confirmed";
-            return Err(Failure::come_back(
-                ErrorKind::Unavailable,
-                cause,
-                AFTER_RECOVERY,
-            ));
+        let Some(contention) = self.contention(context) else {
+            return Ok(());
+        };
+        let order = unit(mix(hash_text(program)));
+        let Verdict::TurnedAway(after) = contention.decide(order) else {
+            return Ok(());
+        };
+        let started = self.history.stores.has_begun(program, ASK_WITHIN).await;
+        summary.placement = describe(&contention, order, started);
+        if started != Some(false) {
+            return Ok(());
         }
-        let routes = self.mirror.view().routes.clone().ok_or(unknown)?;
-        admitted_by(routes, head).map_err(|barred| match barred {
-            Barred::NoRoute => Failure::last(ErrorKind::NotFound, "no_such_route"),
-            Barred::Locked(locked) => Failure::last(ErrorKind::Unauthorized, locked.name()),
+        metrics().turned_away.inc();
+        let cause = "no_room_to_begin";
+        Err(Failure::retryable(ErrorKind::Overloaded, cause, after))
+    }
+
+    /// Whether the operator has first turns limited, and this may be one whose program
+    /// the stores know.
+    fn may_reject(&self, context: &RequestContext) -> bool {
+        let parameters = &context.parameters;
+        self.admission_control
+            && context.service.engine.is_some()
+            && context.route.kind == RouteKind::Stream
+            && parameters.budget.is_some()
+            && parameters.previous.is_none()
+            && !parameters.program.is_empty()
+    }
+
+    fn contention(&self, context: &RequestContext) -> Option<Contention> {
+        let ranked = context.outbound.ranked?;
+        Some(Contention {
+            places: self.registry.total_slots(&context.service.name),
+            as_urgent: self.registry.load().ranks.as_urgent(ranked)?,
         })
     }
 }
+
+fn describe(contention: &Contention, order: f64, started: Option<bool>) -> String {
+    let Contention { places, as_urgent } = contention;
+    let share = contention.share_that_begins();
+    let started = match started {
+        Some(true) => "yes",
+        Some(false) => "no",
+        None => "unknown",
+    };
+    format!(
+        "places={places} as_urgent={as_urgent} share={share:.2} order={order:.2} begun={started}"
+    )
+}
+
+/// The short number of a service, as fronts and stores tell it.
+pub fn service_hash(service: &Text) -> u32 {
+    mix(hash_text(service)) as u32
+}
--- a/crates/stageyoke-front/src/attempt.rs
+++ b/crates/stageyoke-front/src/attempt.rs
@@ -15,11 +15,11 @@
 use stageyoke_types::Text;
 use tokio::time::Instant;
 
-use crate::access::Access;
+use crate::authentication::Caller;
+use crate::connection_pool::Connection;
 use crate::health::Evidence;
-use crate::names::Names;
-use crate::replica::{InFlight, Replica};
-use crate::upstream::Connection;
+use crate::protocol_names::ProtocolNames;
+use crate::replica::{InFlightGuard, Replica};
 
 /// Headers that concern one connection only.
 const HOP_BY_HOP: [HeaderName; 8] = [
@@ -35,11 +35,11 @@
 
 /// A connection that ends sooner than this after a request was sent has met no
 /// replica at work: a round trip between zones, and little more.
-const AT_ONCE: Duration = Duration::from_millis(8);
+const IMMEDIATE_RESET: Duration = Duration::from_millis(8);
 
 /// A request as it goes to replicas.
 #[derive(Clone, Debug)]
-pub struct Outbound {
+pub struct OutboundRequest {
     /// Identifier that the answer must echo.
     pub request: Text,
     /// Method of the caller's request.
@@ -59,7 +59,7 @@
 }
 
 /// An answer whose body is still to be read.
-pub struct Answer {
+pub struct ReplicaResponse {
     /// Head and body.
     pub response: Response<Incoming>,
     /// Connection that carries it.
@@ -67,19 +67,19 @@
     /// Replica that gave it.
     pub replica: Rc<Replica>,
     /// Counts it as under way.
-    pub guard: InFlight,
+    pub guard: InFlightGuard,
     /// When the request was sent.
     pub sent: Instant,
 }
 
 /// What is known after a try.
-pub enum Outcome {
+pub enum AttemptOutcome {
     /// The replica never got the request.
     NotSent(&'static str),
     /// The replica promises that it was not run.
     NotRun(StatusCode),
     /// An answer to this request.
-    Answered(Box<Answer>),
+    Answered(Box<ReplicaResponse>),
     /// It may have run; there is no usable answer.
     Lost(&'static str),
 }
@@ -93,16 +93,16 @@
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    let mut kept = HeaderMap::with_capacity(headers.len());
+    let mut forwarded = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
         let dropped = HOP_BY_HOP.contains(name)
             || name == CONTENT_LENGTH
             || listed.iter().any(|listed| listed == name.as_str());
         if !dropped {
-            kept.append(name.clone(), value.clone());
+            forwarded.append(name.clone(), value.clone());
         }
     }
-    kept
+    forwarded
 }
 
 /// Headers of a caller's request that go to replicas. What only the front may
@@ -114,8 +114,8 @@
 /// tenant's name can't stand in a header.
 pub fn forwarded_headers(
     headers: &HeaderMap,
-    names: &Names,
-    access: &Access,
+    names: &ProtocolNames,
+    caller: &Caller,
     urgency: Option<u8>,
 ) -> Option<HeaderMap> {
     let mut forwarded = end_to_end_headers(headers);
@@ -124,10 +124,10 @@
     }
     forwarded.remove(&names.tenant);
     forwarded.remove(&names.urgency.header);
-    if access.keyed {
+    if caller.tenants_configured {
         forwarded.remove(AUTHORIZATION);
     }
-    if let Some(tenant) = &access.tenant {
+    if let Some(tenant) = &caller.tenant {
         let name = HeaderValue::from_str(&tenant.name).ok()?;
         forwarded.insert(names.tenant.clone(), name);
     }
@@ -141,59 +141,67 @@
 }
 
 /// Sends the request to the replica and waits for the head of its answer.
-pub async fn send(outbound: &Outbound, replica: &Rc<Replica>, names: &Names) -> Outcome {
-    let guard = replica.begin(outbound.ranked);
-    let mut request = build(outbound, replica, names);
+pub async fn send(
+    outbound: &OutboundRequest,
+    replica: &Rc<Replica>,
+    names: &ProtocolNames,
+) -> AttemptOutcome {
+    let guard = replica.start_request(outbound.ranked);
+    let mut request = build_request(outbound, replica, names);
     loop {
-        let limit = replica.rest_limit(outbound.repeatable);
-        let (mut connection, fresh) = match replica.pool.take(limit) {
+        let limit = replica.idle_limit(outbound.repeatable);
+        let (mut connection, fresh) = match replica.pool.acquire(limit) {
             Some(connection) => (connection, false),
             None => match Connection::open(&replica.record.address).await {
                 Ok(connection) => (connection, true),
                 Err(_) => {
-                    replica.note(Evidence::Unreachable);
-                    return Outcome::NotSent("no_connection");
+                    replica.record(Evidence::Unreachable);
+                    return AttemptOutcome::NotSent("no_connection");
                 }
             },
         };
-        if !replica.taking_work() {
-            return Outcome::NotSent("left_meanwhile");
+        if !replica.accepts_requests() {
+            return AttemptOutcome::NotSent("left_meanwhile");
         }
         set_deadline(&mut request, outbound, names);
-        let rested = connection.rested();
+        let idle_time = connection.idle_time();
         let sent = Instant::now();
         match connection.sender.try_send_request(request).await {
             Ok(response) => {
-                let answer = Box::new(Answer {
+                let reply = Box::new(ReplicaResponse {
                     response,
                     connection,
                     replica: replica.clone(),
                     guard,
                     sent,
                 });
-                return judge(outbound, answer, names);
+                return classify_response(outbound, reply, names);
             }
             Err(mut error) => match error.take_message() {
                 Some(unsent) if !fresh => request = unsent,
-                Some(_) => return Outcome::NotSent("connection_closed"),
+                Some(_) => return AttemptOutcome::NotSent("connection_closed"),
                 None => {
-                    if sent.elapsed() >= AT_ONCE {
-                        replica.note(Evidence::Lost);
+                    if sent.elapsed() >= IMMEDIATE_RESET {
+                        replica.record(Evidence::Lost);
                     } else {
-                        replica.note(Evidence::Reset);
+                        replica.record(Evidence::Reset);
                         let replica = replica.clone();
-                        tokio::task::spawn_local(
-                            async move { replica.look_after_reset(rested).await },
-                        );
+                        tokio::task::spawn_local(async move {
+                            replica.probe_after_reset(idle_time).await
+                        });
                     }
-                    return Outcome::Lost("connection_lost");
+                    return AttemptOutcome::Lost("connection_lost");
                 }
             },
         }
     }
 }
 
-fn build(outbound: &Outbound, replica: &Replica, names: &Names) -> Request<Full<Bytes>> {
+fn build_request(
+    outbound: &OutboundRequest,
+    replica: &Replica,
+    names: &ProtocolNames,
+) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(outbound.body.clone()));
     *request.method_mut() = outbound.method.clone();
     *request.uri_mut() = Uri::from(outbound.path.clone());
@@ -206,50 +214,59 @@
     request
 }
 
-fn set_deadline(request: &mut Request<Full<Bytes>>, outbound: &Outbound, names: &Names) {
+fn set_deadline(
+    request: &mut Request<Full<Bytes>>,
+    outbound: &OutboundRequest,
+    names: &ProtocolNames,
+) {
     let left = outbound.deadline.saturating_duration_since(Instant::now());
     let value = HeaderValue::from(left.as_millis().max(1) as u64);
     request.headers_mut().insert(names.deadline.clone(), value);
 }
 
-fn judge(outbound: &Outbound, mut answer: Box<Answer>, names: &Names) -> Outcome {
-    answer.connection.heed_keep_alive(&answer.response);
-    let head = &answer.response;
+fn classify_response(
+    outbound: &OutboundRequest,
+    mut reply: Box<ReplicaResponse>,
+    names: &ProtocolNames,
+) -> AttemptOutcome {
+    reply.connection.apply_keep_alive(&reply.response);
+    let head = &reply.response;
     let status = head.status();
     if status.as_u16() == names.wrong_instance_status {
-        answer.replica.mark_gone();
-        return Outcome::NotRun(status);
+        reply.replica.mark_removed();
+        return AttemptOutcome::NotRun(status);
     }
     let echoed = head.headers().get(&names.request_id);
     let own = echoed.is_some_and(|value| value.as_bytes() == outbound.request.as_bytes());
     let not_run = head.headers().contains_key(&names.not_run);
     if not_run && (own || echoed.is_none()) {
-        tokio::task::spawn_local(finish_connection(*answer));
-        return Outcome::NotRun(status);
+        tokio::task::spawn_local(drain_connection(*reply));
+        return AttemptOutcome::NotRun(status);
     }
     if !own {
-        answer.replica.note(Evidence::Failed);
-        return Outcome::Lost("foreign_answer");
+        reply.replica.record(Evidence::Failed);
+        return AttemptOutcome::Lost("foreign_answer");
     }
     if head.headers().contains_key(CONTENT_ENCODING) {
-        return Outcome::Lost("encoded_answer");
+        return AttemptOutcome::Lost("encoded_answer");
     }
-    Outcome::Answered(answer)
+    AttemptOutcome::Answered(reply)
 }
 
 /// Reads the rest of a short answer, so that its connection can be kept.
-async fn finish_connection(answer: Answer) {
+async fn drain_connection(reply: ReplicaResponse) {
     use http_body_util::BodyExt;
-    let Answer {
+    let ReplicaResponse {
         response,
         connection,
         replica,
         guard,
         ..
-    } = answer;
+    } = reply;
     drop(guard);
     let reading = response.into_body().collect();
-    if let Ok(Ok(_)) = tokio::time::timeout(crate::upstream::CONNECT_TIMEOUT, reading).await {
-        replica.pool.give(connection);
+    if let Ok(Ok(_)) = tokio::time::timeout(crate::connection_pool::CONNECT_TIMEOUT, reading).await
+    {
+        replica.pool.release(connection);
     }
 }
--- a/crates/stageyoke-front/src/access.rs
+++ b/crates/stageyoke-front/src/authentication.rs
@@ -9,42 +9,42 @@
 use stageyoke_observe as observe;
 use stageyoke_types::Event;
 
-use crate::line_pause::LinePause;
-use crate::names::UrgencyScale;
+use crate::log_limiter::LogRateLimiter;
+use crate::protocol_names::UrgencyScale;
 
 /// Scheme of the header that carries a key.
-const SCHEME: &str = "bearer";
+const KEY_SCHEME: &str = "bearer";
 /// Ranks of routes that are told apart among tenants of one rank; lower ones go last.
-const RANKS_OF_ROUTES: u8 = 3;
+const ROUTE_RANKS: u8 = 3;
 /// Ranks of tenants that are told apart.
-const MOST_TENANT_RANK: u8 = u8::MAX / RANKS_OF_ROUTES - 1;
+const MAX_TENANT_RANK: u8 = u8::MAX / ROUTE_RANKS - 1;
 
 /// Whether a front can know that a key still holds: the directory tells when one is
 /// taken away, and may have got old.
 #[derive(Debug)]
-pub struct KeyTrust {
+pub struct KeyFreshness {
     bound: Duration,
     limit: Option<Duration>,
-    lines: LinePause,
+    log_limiter: LogRateLimiter,
 }
 
-impl KeyTrust {
+impl KeyFreshness {
     /// Changes must be in force within `bound`. Keys are refused where the directory
     /// is older than `limit`; without one they are taken, and a line says so.
     pub fn new(bound: Duration, limit: Option<Duration>) -> Self {
         Self {
             bound,
             limit,
-            lines: LinePause::default(),
+            log_limiter: LogRateLimiter::default(),
         }
     }
 
     /// Whether a key may be taken by a directory of this age.
-    pub fn holds(&self, age: Duration) -> bool {
+    pub fn accepts_keys(&self, age: Duration) -> bool {
         if age <= self.bound {
             return true;
         }
-        if self.lines.take() {
+        if self.log_limiter.try_acquire() {
             let detail = format!("directory_age={} limit={:?}", age.as_millis(), self.limit);
             observe::event(Event::KeysUnconfirmed, &detail);
         }
@@ -54,24 +54,24 @@
 
 /// Who makes a request.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Access {
+pub struct Caller {
     /// Holder of the request's key; none where no key is needed and none of a
     /// tenant's was given.
     pub tenant: Option<Tenant>,
     /// Whether the configuration has tenants, so that keys are for the front.
-    pub keyed: bool,
+    pub tenants_configured: bool,
 }
 
 /// Why a request is not let in, by this configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Locked {
+pub enum AuthenticationError {
     /// It carries no key, or more than one.
     NoKey,
     /// No tenant holds its key.
     UnknownKey,
 }
 
-impl Locked {
+impl AuthenticationError {
     /// The cause as logs name it.
     pub fn name(self) -> &'static str {
         match self {
@@ -81,9 +81,13 @@
     }
 }
 
-impl Access {
+impl Caller {
     /// Who makes a request on this route.
-    pub fn of(routes: &RouteTable, route: &Route, headers: &HeaderMap) -> Result<Self, Locked> {
+    pub fn of(
+        routes: &RouteTable,
+        route: &Route,
+        headers: &HeaderMap,
+    ) -> Result<Self, AuthenticationError> {
         let Some(tenants) = &routes.tenants else {
             return Ok(Self::default());
         };
@@ -91,13 +95,13 @@
         let holder = key.and_then(|key| tenants.holder(key));
         if holder.is_none() && !route.keyless {
             return Err(match key {
-                Some(_) => Locked::UnknownKey,
-                None => Locked::NoKey,
+                Some(_) => AuthenticationError::UnknownKey,
+                None => AuthenticationError::NoKey,
             });
         }
         Ok(Self {
             tenant: holder.cloned(),
-            keyed: true,
+            tenants_configured: true,
         })
     }
 
@@ -111,8 +115,8 @@
     /// its route's; among tenants of one rank, as where all have the same, the route's
     /// decides.
     pub fn order(&self, route: &Route) -> u8 {
-        let own = self.priority(route).min(MOST_TENANT_RANK);
-        own * RANKS_OF_ROUTES + route.priority.min(RANKS_OF_ROUTES - 1)
+        let own = self.priority(route).min(MAX_TENANT_RANK);
+        own * ROUTE_RANKS + route.priority.min(ROUTE_RANKS - 1)
     }
 
     /// What an engine is told of a request's urgency: its order, as far as the engine's
@@ -128,7 +132,7 @@
     ) -> Option<u8> {
         service.engine.as_ref()?;
         let own = self.tenant.as_ref().and_then(|tenant| tenant.priority);
-        (ordered || own.is_some()).then(|| self.order(route).min(scale.last))
+        (ordered || own.is_some()).then(|| self.order(route).min(scale.least_urgent))
     }
 }
 
@@ -139,9 +143,9 @@
     if values.next().is_some() {
         return None;
     }
-    let (scheme, rest) = value.split_at_checked(SCHEME.len())?;
+    let (scheme, rest) = value.split_at_checked(KEY_SCHEME.len())?;
     let key = rest.trim_ascii();
     let separated = rest.first().is_some_and(u8::is_ascii_whitespace);
-    let named = scheme.eq_ignore_ascii_case(SCHEME.as_bytes());
+    let named = scheme.eq_ignore_ascii_case(KEY_SCHEME.as_bytes());
     (named && separated && !key.is_empty()).then_some(key)
 }
--- a/crates/stageyoke-front/src/bootstrap.rs
+++ b/crates/stageyoke-front/src/bootstrap.rs
@@ -12,15 +12,15 @@
 use stageyoke_observe as observe;
 
 /// How long the service itself has, before the stores are asked.
-const SERVICE_FIRST: Duration = Duration::from_millis(250);
-const ASK_WITHIN: Duration = Duration::from_millis(500);
-const PAUSE: Duration = Duration::from_millis(50);
+const KEY_VALUE_SERVICE_HEAD_START: Duration = Duration::from_millis(250);
+const STORE_TIMEOUT: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Asks the stores at these addresses, one after the other from a random one
 /// on, until the service, or one of them, has answered. One copy is enough: it
 /// is replaced as soon as the service answers, and many fronts may start at once.
 pub async fn run<S: KeyValueService, I: Interpreter>(mirror: &Mirror<S, I>, stores: &[String]) {
-    tokio::time::sleep(SERVICE_FIRST).await;
+    tokio::time::sleep(KEY_VALUE_SERVICE_HEAD_START).await;
     if stores.is_empty() {
         return;
     }
@@ -28,7 +28,7 @@
     while mirror.last_contact().is_none() {
         let client = StoreClient::new(&stores[next]);
         next = (next + 1) % stores.len();
-        let items = match client.call(Request::Items, ASK_WITHIN).await {
+        let items = match client.call(Request::Items, STORE_TIMEOUT).await {
             Ok(Reply::Items(seen)) => seen.into_iter().map(told_item).collect(),
             Ok(_) | Err(_) => Vec::new(),
         };
@@ -37,6 +37,6 @@
             observe::event(Event::SeededByStores, &format!("items={count}"));
             return;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
--- a/crates/stageyoke-front/src/upstream.rs
+++ b/crates/stageyoke-front/src/connection_pool.rs
@@ -54,18 +54,18 @@
         })
     }
 
-    fn usable(&self) -> bool {
-        let life = self.keep_alive.saturating_sub(KEEP_ALIVE_MARGIN);
-        self.sender.is_ready() && self.rested() < life
+    fn is_reusable(&self) -> bool {
+        let lifetime = self.keep_alive.saturating_sub(KEEP_ALIVE_MARGIN);
+        self.sender.is_ready() && self.idle_time() < lifetime
     }
 
     /// How long it has rested since its last answer.
-    pub fn rested(&self) -> Duration {
+    pub fn idle_time(&self) -> Duration {
         self.idle_since.elapsed()
     }
 
     /// Takes the life that the replica announces for idle connections.
-    pub fn heed_keep_alive(&mut self, response: &Response<Incoming>) {
+    pub fn apply_keep_alive(&mut self, response: &Response<Incoming>) {
         let announced = response
             .headers()
             .get("keep-alive")
@@ -95,30 +95,30 @@
 
 /// Idle connections of one replica, used last in, first out.
 #[derive(Default)]
-pub struct Pool {
+pub struct ConnectionPool {
     idle: RefCell<Vec<Connection>>,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// An idle connection that is still good, and has rested no longer than
     /// `limit`.
-    pub fn take(&self, limit: Option<Duration>) -> Option<Connection> {
+    pub fn acquire(&self, limit: Option<Duration>) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        idle.retain(Connection::usable);
+        idle.retain(Connection::is_reusable);
         let newest = idle.last()?;
-        if limit.is_some_and(|limit| newest.rested() > limit) {
+        if limit.is_some_and(|limit| newest.idle_time() > limit) {
             return None;
         }
         idle.pop()
     }
 
     /// Whether there is an idle connection that is still good.
-    pub fn has_free(&self) -> bool {
-        self.idle.borrow().iter().any(Connection::usable)
+    pub fn has_idle(&self) -> bool {
+        self.idle.borrow().iter().any(Connection::is_reusable)
     }
 
     /// Keeps a connection for the next request.
-    pub fn give(&self, mut connection: Connection) {
+    pub fn release(&self, mut connection: Connection) {
         if connection.sender.is_closed() {
             return;
         }
--- a/crates/stageyoke-front/src/events.rs
+++ b/crates/stageyoke-front/src/event_stream.rs
@@ -41,7 +41,7 @@
     }
 
     /// Bytes after the last whole event.
-    pub fn rest(&mut self) -> Bytes {
+    pub fn take_remainder(&mut self) -> Bytes {
         self.scanned = 0;
         self.buffer.split().freeze()
     }
--- a/crates/stageyoke-front/src/answer.rs
+++ b/crates/stageyoke-front/src/failure.rs
@@ -6,7 +6,7 @@
 use hyper::{Response, StatusCode};
 use stageyoke_types::ErrorKind;
 
-use crate::body::FrontBody;
+use crate::response_body::ResponseBody;
 
 /// Why a request ends here, and when it may come back.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -21,7 +21,7 @@
 
 impl Failure {
     /// A failure that is final.
-    pub fn last(kind: ErrorKind, cause: &'static str) -> Self {
+    pub fn permanent(kind: ErrorKind, cause: &'static str) -> Self {
         Self {
             kind,
             retry_after: None,
@@ -30,7 +30,7 @@
     }
 
     /// A refusal of a request that has not run.
-    pub fn come_back(kind: ErrorKind, cause: &'static str, after: Duration) -> Self {
+    pub fn retryable(kind: ErrorKind, cause: &'static str, after: Duration) -> Self {
         Self {
             kind,
             retry_after: Some(after),
@@ -41,7 +41,7 @@
 
 impl Failure {
     /// Whether the request has not run at any replica, and will not.
-    pub fn not_run(&self) -> bool {
+    pub fn is_not_run(&self) -> bool {
         matches!(
             self.kind,
             ErrorKind::Overloaded
@@ -53,13 +53,13 @@
 }
 
 /// The answer that belongs to a failure.
-pub fn respond(failure: &Failure) -> Response<FrontBody> {
+pub fn build_response(failure: &Failure) -> Response<ResponseBody> {
     let answer = failure.kind.answer();
     let content = format!(
         "{{\"error\":{{\"kind\":\"{}\",\"message\":\"{}\"}}}}",
         answer.name, answer.meaning
     );
-    let mut response = Response::new(FrontBody::whole(content));
+    let mut response = Response::new(ResponseBody::full(content));
     *response.status_mut() =
         StatusCode::from_u16(answer.http_status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let headers = response.headers_mut();
--- a/crates/stageyoke-front/src/front.rs
+++ b/crates/stageyoke-front/src/front.rs
@@ -17,33 +17,33 @@
 use stageyoke_types::{Event, Text};
 use tokio::net::TcpListener;
 
-use crate::access::KeyTrust;
-use crate::activity::{Activity, Closing};
-use crate::beginnings::BegunPrograms;
+use crate::admission::StartedPrograms;
+use crate::authentication::KeyFreshness;
+use crate::baseline_latency::BaselineLatencies;
 use crate::bootstrap;
-use crate::fleet::Fleet;
 use crate::history::History;
-use crate::list_report::ListAge;
-use crate::memory::MemoryBudget;
-use crate::names::Names;
-use crate::pace::UsualTimes;
+use crate::memory_budget::MemoryBudget;
+use crate::protocol_names::ProtocolNames;
 use crate::quota::Quotas;
+use crate::replica_log::StaleListMonitor;
+use crate::replica_registry::ReplicaRegistry;
 use crate::server;
-use crate::shares::Shares;
-use crate::tenant_report::TenantReport;
+use crate::shutdown::{RequestTracker, ShutdownSignal};
+use crate::tenant_warnings::TenantWarnings;
+use crate::traffic_split::TrafficSplit;
 use stageyoke_observe as observe;
 
 /// A planned stop takes connections and requests this long, until the entry
 /// has seen that the front is not ready; then resting connections are closed.
-const STOP_LISTENING_AFTER: Duration = Duration::from_millis(2600);
+const STOP_LISTENING_DELAY: Duration = Duration::from_millis(2600);
 /// Part of the grace that is left for the end of the process.
-const GRACE_MARGIN: Duration = Duration::from_millis(700);
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(700);
 
 /// A front that has reached no quorum of any store group for this long is not
 /// ready.
-const UNREADY_AFTER: Duration = Duration::from_millis(600);
-const PROBE_PAUSE: Duration = Duration::from_millis(200);
-const PROBE_WITHIN: Duration = Duration::from_millis(300);
+const UNREADY_DELAY: Duration = Duration::from_millis(600);
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Settings of the role.
 #[derive(Clone, Debug)]
@@ -68,7 +68,7 @@
     /// Whether programs are turned away while engines have no room for them.
     pub admission_control: bool,
     /// Whether fronts tell one another how long engines take.
-    pub uneven_engines: bool,
+    pub heterogeneous_engines: bool,
 }
 
 /// Where a front is reached.
@@ -93,39 +93,39 @@
 /// Everything that a front's tasks share.
 pub struct Front<S, I> {
     /// Header names and paths.
-    pub names: Names,
+    pub names: ProtocolNames,
     /// Zone of this front.
     pub zone: Text,
     /// Routes, replicas and store members.
     pub mirror: Rc<Mirror<S, I>>,
     /// Replicas with what this front has seen of them.
-    pub fleet: Fleet,
+    pub registry: ReplicaRegistry,
     /// What answers of plain services take.
-    pub usual_times: UsualTimes,
+    pub baseline_latencies: BaselineLatencies,
     /// Whether programs are turned away while engines have no room for them.
     pub admission_control: bool,
     /// Programs that have begun.
-    pub begun: BegunPrograms,
+    pub started_programs: StartedPrograms,
     /// Requests that may be tried again since their answer has not come.
     pub retry_budget: Cell<RetryBudget>,
     /// Weighted splits.
-    pub shares: Shares,
+    pub traffic_split: TrafficSplit,
     /// Turns and budgets.
     pub history: Rc<History>,
     /// Whether keys can be told from those that were taken away.
-    pub key_trust: KeyTrust,
+    pub key_freshness: KeyFreshness,
     /// Tells when the list of replicas is old.
-    pub(crate) list_age: ListAge,
+    pub(crate) stale_list_monitor: StaleListMonitor,
     /// Limits of tenants.
     pub quotas: Quotas,
     /// Requests under way.
-    pub activity: Activity,
+    pub requests: RequestTracker,
     /// Bytes that they hold.
-    pub memory: Rc<MemoryBudget>,
+    pub memory_budget: Rc<MemoryBudget>,
     /// Tells the listeners and connections to close.
-    pub closing: Closing,
+    pub shutdown: ShutdownSignal,
     draining: Cell<bool>,
-    tenant_report: TenantReport,
+    tenant_warnings: TenantWarnings,
 }
 
 impl<S: KeyValueService + 'static, I: Interpreter + 'static> Front<S, I> {
@@ -138,31 +138,31 @@
     pub fn ready(&self) -> bool {
         let view = self.mirror.view();
         let failing = self.history.stores.all_failing_for();
-        let stores_serve = failing.is_none_or(|failing| failing < UNREADY_AFTER);
+        let stores_serve = failing.is_none_or(|failing| failing < UNREADY_DELAY);
         view.routes.is_some() && !self.draining() && stores_serve
     }
 
     /// Looks for the return of store groups while they fail, and for the end of
     /// lapses, which no change of the list may bring.
-    async fn watch_groups(&self) {
-        let mut told: BTreeSet<GroupNumber> = BTreeSet::new();
+    async fn watch_store_groups(&self) {
+        let mut reported: BTreeSet<GroupNumber> = BTreeSet::new();
         loop {
-            tokio::time::sleep(PROBE_PAUSE).await;
+            tokio::time::sleep(PROBE_INTERVAL).await;
             let failing = self.history.stores.failing();
             for group in &failing {
                 let number = group.number();
-                if told.insert(number) {
+                if reported.insert(number) {
                     let failing_for = group.failing_for().unwrap_or_default();
                     let detail = format!("group={} for={failing_for:?}", number.0);
                     observe::event(Event::GroupFailing, &detail);
                 }
                 let probed = group.clone();
-                tokio::task::spawn_local(async move { probed.probe(PROBE_WITHIN).await });
+                tokio::task::spawn_local(async move { probed.probe(PROBE_TIMEOUT).await });
             }
-            if self.fleet.has_lapses_over() {
-                self.follow();
+            if self.registry.has_expired_lapses() {
+                self.apply_directory();
             }
-            told.retain(|number| {
+            reported.retain(|number| {
                 let fails = failing.iter().any(|group| group.number() == *number);
                 if !fails {
                     self.mirror.freshness().note_peers_back();
@@ -175,17 +175,17 @@
     }
 
     /// Takes up what the view holds now.
-    pub(crate) fn follow(&self) {
+    pub(crate) fn apply_directory(&self) {
         let view = self.mirror.view();
-        self.fleet.set_groups(view.stores.groups.len());
-        self.fleet
-            .follow(&view.replicas, self.mirror.entries_back_until());
+        self.registry.set_store_groups(view.stores.groups.len());
+        self.registry
+            .apply_list(&view.replicas, self.mirror.entries_back_until());
         let metrics = stageyoke_observe::metrics();
         metrics.replicas.set(view.replicas.len() as i64);
         metrics.members_version.set(view.stores.version as i64);
         if let Some(routes) = &view.routes {
-            self.shares.follow(routes);
-            for (event, detail) in self.tenant_report.follow(routes) {
+            self.traffic_split.retain_routes(routes);
+            for (event, detail) in self.tenant_warnings.update(routes) {
                 observe::event(event, &detail);
             }
         }
@@ -200,7 +200,7 @@
 pub async fn run<S: KeyValueService + 'static, I: Interpreter + 'static>(
     settings: FrontSettings,
     listeners: FrontListeners,
-    names: Names,
+    names: ProtocolNames,
     mirror: Mirror<S, I>,
     stop: impl Future<Output = ()>,
 ) -> io::Result<()> {
@@ -209,7 +209,7 @@
     if settings.admission_control {
         stores.load().ranks.tell_others();
     }
-    if settings.uneven_engines {
+    if settings.heterogeneous_engines {
         stores.load().engines.tell_others();
     }
     let relay = StoreRelay::new(stores.clone(), settings.seeds.clone());
@@ -218,21 +218,21 @@
         names,
         zone: settings.zone.clone(),
         mirror,
-        fleet: Fleet::new(stores.load().clone()),
-        usual_times: UsualTimes::default(),
+        registry: ReplicaRegistry::new(stores.load().clone()),
+        baseline_latencies: BaselineLatencies::default(),
         admission_control: settings.admission_control,
-        begun: BegunPrograms::default(),
+        started_programs: StartedPrograms::default(),
         retry_budget: Cell::default(),
-        shares: Shares::new(rand::random()),
-        key_trust: KeyTrust::new(settings.change_bound, settings.key_age_limit),
-        list_age: ListAge::within(settings.change_bound),
+        traffic_split: TrafficSplit::new(rand::random()),
+        key_freshness: KeyFreshness::new(settings.change_bound, settings.key_age_limit),
+        stale_list_monitor: StaleListMonitor::new(settings.change_bound),
         quotas: Quotas::new(stores.clone()),
         history: Rc::new(History::new(stores)),
-        activity: Activity::default(),
-        memory: Rc::new(MemoryBudget::within(settings.memory_bytes)),
-        closing: Closing::default(),
+        requests: RequestTracker::default(),
+        memory_budget: Rc::new(MemoryBudget::for_machine(settings.memory_bytes)),
+        shutdown: ShutdownSignal::default(),
         draining: Cell::new(false),
-        tenant_report: TenantReport::default(),
+        tenant_warnings: TenantWarnings::default(),
     });
     let FrontListeners { callers, readiness } = listeners;
     tokio::task::spawn_local(server::serve_callers(front.clone(), callers));
@@ -241,30 +241,30 @@
     tokio::task::spawn_local(async move {
         let mirror = following.mirror.clone();
         let report = |event| {
-            following.follow();
+            following.apply_directory();
             report_mirror_event(event);
         };
         mirror.run(report).await;
     });
     let watching = front.clone();
-    tokio::task::spawn_local(async move { watching.watch_groups().await });
+    tokio::task::spawn_local(async move { watching.watch_store_groups().await });
     let seeding = front.clone();
     let seeds = settings.seeds.clone();
     tokio::task::spawn_local(async move {
         bootstrap::run(&seeding.mirror, &seeds).await;
-        seeding.follow();
+        seeding.apply_directory();
     });
     let detail = format!("node={} {}", settings.node, describe_build());
     observe::event(Event::NodeStarted, &detail);
     stop.await;
     front.draining.set(true);
-    let detail = format!("under_way={}", front.activity.count());
+    let detail = format!("under_way={}", front.requests.count());
     observe::event(Event::NodeDraining, &detail);
-    let most = settings.grace.saturating_sub(GRACE_MARGIN);
+    let most = settings.grace.saturating_sub(SHUTDOWN_MARGIN);
     let finish = async {
-        tokio::time::sleep(STOP_LISTENING_AFTER.min(most)).await;
-        front.closing.begin();
-        front.activity.idle().await;
+        tokio::time::sleep(STOP_LISTENING_DELAY.min(most)).await;
+        front.shutdown.trigger();
+        front.requests.wait_until_idle().await;
     };
     let finished = tokio::time::timeout(most, finish).await.is_ok();
     observe::event(Event::NodeStopped, &format!("finished={finished}"));
--- a/crates/stageyoke-front/src/handler.rs
+++ b/crates/stageyoke-front/src/handler.rs
@@ -18,67 +18,67 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use crate::access::Access;
-use crate::admission::Admitted;
-use crate::answer::{self, Failure};
-use crate::attempt::{Outbound, end_to_end_headers, forwarded_headers};
-use crate::beginnings::service_number;
-use crate::body::FrontBody;
+use crate::admission::service_hash;
+use crate::attempt::{OutboundRequest, end_to_end_headers, forwarded_headers};
+use crate::authentication::Caller;
+use crate::dispatch::DispatchedResponse;
+use crate::failure::{self, Failure};
 use crate::front::Front;
 use crate::history::Reservation;
-use crate::memory::Held;
-use crate::offer::Served;
-use crate::quota::Asked;
-use crate::relay::{Carrier, Keeping, PIECES_AHEAD, Relay};
-use crate::request::{Figures, KeptIdentifiers};
-use crate::unanswered::Unanswered;
-use stageyoke_observe::{self as observe, RequestStory as Story};
+use crate::memory_budget::MemoryGuard;
+use crate::pending_request::PendingRequest;
+use crate::quota::QuotaRequest;
+use crate::request::{RequestParameters, ScopedIdentifiers};
+use crate::response_body::ResponseBody;
+use crate::routing::MatchedRoute;
+use crate::stream_relay::{CHUNK_BUFFER, StreamRelay, TurnStorage, UpstreamStream};
+use stageyoke_observe::{self as observe, RequestStory as Summary};
 
 /// How long a doubtful route or chain is looked up.
-pub(crate) const LOOK_UP_WITHIN: Duration = Duration::from_millis(800);
+pub(crate) const LOOKUP_TIMEOUT: Duration = Duration::from_millis(800);
 /// When to come back after a refusal for want of room.
-pub(crate) const SOON: Duration = Duration::from_millis(250);
+pub(crate) const SHORT_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// When to come back after a refusal for want of something that is down: such
 /// faults last seconds.
-pub(crate) const AFTER_RECOVERY: Duration = Duration::from_millis(1000);
+pub(crate) const OUTAGE_RETRY_DELAY: Duration = Duration::from_millis(1000);
 
 /// A turn's reservation, where it needs one.
-type Reserved = Result<Option<Reservation>, Failure>;
+type ReservationResult = Result<Option<Reservation>, Failure>;
 /// What was said before a turn, where it goes on from one.
-type Found = Result<Option<Bytes>, Failure>;
+type TranscriptResult = Result<Option<Bytes>, Failure>;
 
 /// A request with everything that was found out about it.
-pub(crate) struct Call {
-    pub(crate) figures: Figures,
-    pub(crate) kept: KeptIdentifiers,
-    pub(crate) access: Access,
+pub(crate) struct RequestContext {
+    pub(crate) parameters: RequestParameters,
+    pub(crate) identifiers: ScopedIdentifiers,
+    pub(crate) caller: Caller,
     pub(crate) routes_version: u64,
     pub(crate) route: Route,
     pub(crate) service: ServiceSpec,
-    pub(crate) outbound: Outbound,
+    pub(crate) outbound: OutboundRequest,
     pub(crate) input: Bytes,
     pub(crate) arrived: Instant,
     /// What the request holds of the front's memory.
-    pub(crate) held: Held,
+    pub(crate) memory_guard: MemoryGuard,
 }
 
 impl<S: KeyValueService + 'static, I: Interpreter + 'static> Front<S, I> {
     /// Answers one request.
-    pub async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Response<FrontBody> {
+    pub async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         let arrived = Instant::now();
-        let _active = self.activity.begin();
-        let mut unanswered = Unanswered::new(arrived);
-        let served = self.serve(request, arrived, &mut unanswered.story).await;
-        let mut story = unanswered.answered();
+        let _active = self.requests.track();
+        let mut pending = PendingRequest::new(arrived);
+        let served = self.serve(request, arrived, &mut pending.summary).await;
+        let mut summary = pending.into_summary();
         let mut response = match served {
             Ok(response) => response,
             Err(failure) => {
-                story.outcome = failure.cause;
-                story.status = failure.kind.answer().http_status;
+                summary.outcome = failure.cause;
+                summary.status = failure.kind.answer().http_status;
                 let retry_after = failure.retry_after.unwrap_or_default();
-                story.retry_after = retry_after.as_millis() as u64;
-                observe::request_ended(&story, arrived.elapsed());
-                self.echo(answer::respond(&failure), &story)
+                summary.retry_after = retry_after.as_millis() as u64;
+                observe::request_ended(&summary, arrived.elapsed());
+                self.echo(failure::build_response(&failure), &summary)
             }
         };
         if !self.ready() {
@@ -89,9 +89,13 @@
         response
     }
 
-    fn echo(&self, mut response: Response<FrontBody>, story: &Story) -> Response<FrontBody> {
-        if let Ok(value) = HeaderValue::from_str(&story.request)
-            && !story.request.is_empty()
+    fn echo(
+        &self,
+        mut response: Response<ResponseBody>,
+        summary: &Summary,
+    ) -> Response<ResponseBody> {
+        if let Ok(value) = HeaderValue::from_str(&summary.request)
+            && !summary.request.is_empty()
         {
             let name = self.names.request_id.clone();
             response.headers_mut().insert(name, value);
@@ -103,69 +107,68 @@
         self: &Rc<Self>,
         request: Request<Incoming>,
         arrived: Instant,
-        story: &mut Story,
-    ) -> Result<Response<FrontBody>, Failure> {
+        summary: &mut Summary,
+    ) -> Result<Response<ResponseBody>, Failure> {
         let (head, body) = request.into_parts();
-        let figures = Figures::read(&head.headers, &self.names, arrived).ok_or(Failure::last(
-            ErrorKind::BadRequest,
-            "no_request_identifier",
-        ))?;
-        story.request = figures.request.to_string();
-        story.program = figures.program.to_string();
-        let deadline = figures.deadline.saturating_duration_since(arrived);
-        story.deadline = deadline.as_millis() as u64;
-        let finish = figures
-            .finish
-            .map_or(Duration::ZERO, |finish| finish.left());
-        story.finish = finish.as_millis() as u64;
+        let parameters = RequestParameters::read(&head.headers, &self.names, arrived).ok_or(
+            Failure::permanent(ErrorKind::BadRequest, "no_request_identifier"),
+        )?;
+        summary.request = parameters.request.to_string();
+        summary.program = parameters.program.to_string();
+        let deadline = parameters.deadline.saturating_duration_since(arrived);
+        summary.deadline = deadline.as_millis() as u64;
+        let finish = parameters
+            .program_deadline
+            .map_or(Duration::ZERO, |finish| finish.remaining());
+        summary.finish = finish.as_millis() as u64;
         let freshness = self.mirror.freshness();
         freshness.before_use().await;
         let age = freshness.age().unwrap_or(Duration::MAX);
-        story.directory_age = age.as_millis().min(u128::from(u32::MAX)) as u64;
+        summary.directory_age = age.as_millis().min(u128::from(u32::MAX)) as u64;
         let ages = &observe::metrics().directory_age_seconds;
         ages.observe(age.as_secs_f64());
-        self.list_age.note(age, freshness.unreachable());
-        story.members_version = self.history.stores.stores().version;
-        let Admitted {
+        self.stale_list_monitor.check(age, freshness.unreachable());
+        summary.members_version = self.history.stores.stores().version;
+        let MatchedRoute {
             routes,
             route,
-            access,
-        } = self.admit(&head).await?;
-        story.route = route.name.to_string();
-        if let Some(tenant) = &access.tenant {
-            story.tenant = tenant.name.to_string();
-            story.limit = tenant.limit.map_or_else(String::new, |limit| {
+            caller,
+        } = self.route_request(&head).await?;
+        summary.route = route.name.to_string();
+        if let Some(tenant) = &caller.tenant {
+            summary.tenant = tenant.name.to_string();
+            summary.limit = tenant.limit.map_or_else(String::new, |limit| {
                 format!("{}+{}", limit.per_second, limit.burst)
             });
-            if !self.key_trust.holds(age) {
+            if !self.key_freshness.accepts_keys(age) {
                 let cause = "key_not_confirmed";
-                return Err(Failure::come_back(
+                return Err(Failure::retryable(
                     ErrorKind::Unavailable,
                     cause,
-                    AFTER_RECOVERY,
+                    OUTAGE_RETRY_DELAY,
                 ));
             }
         }
-        story.routes_version = routes.version;
+        summary.routes_version = routes.version;
         let service = self.pick_service(&routes, &route)?;
-        let mut held = self.memory.begin();
-        let reading = read_body(body, routes.limits.body_bytes, &mut held);
-        let input = tokio::time::timeout_at(figures.deadline, reading)
+        let mut memory_guard = self.memory_budget.start_request();
+        let reading = read_body(body, routes.limits.body_bytes, &mut memory_guard);
+        let input = tokio::time::timeout_at(parameters.deadline, reading)
             .await
-            .map_err(|_| Failure::last(ErrorKind::TooSlow, "body_too_slow"))??;
-        let deadline = figures.deadline.min(arrived + route.timeout);
+            .map_err(|_| Failure::permanent(ErrorKind::TooSlow, "body_too_slow"))??;
+        let deadline = parameters.deadline.min(arrived + route.timeout);
         let path = head
             .uri
             .path_and_query()
             .cloned()
             .unwrap_or_else(|| PathAndQuery::from_static("/"));
         let ordered = self.admission_control;
-        let urgency = access.urgency(&route, &service, &self.names.urgency, ordered);
-        let headers = forwarded_headers(&head.headers, &self.names, &access, urgency)
-            .ok_or(Failure::last(ErrorKind::Internal, "tenant_name"))?;
-        let kept = KeptIdentifiers::of(&figures, access.tenant.as_ref());
-        let outbound = Outbound {
-            request: figures.request.clone(),
+        let urgency = caller.urgency(&route, &service, &self.names.urgency, ordered);
+        let headers = forwarded_headers(&head.headers, &self.names, &caller, urgency)
+            .ok_or(Failure::permanent(ErrorKind::Internal, "tenant_name"))?;
+        let identifiers = ScopedIdentifiers::of(&parameters, caller.tenant.as_ref());
+        let outbound = OutboundRequest {
+            request: parameters.request.clone(),
             method: head.method,
             path,
             headers,
@@ -173,79 +176,86 @@
             deadline,
             repeatable: route.repeatable(),
             ranked: service.engine.as_ref().map(|_| Ranked {
-                service: service_number(&service.name),
-                rank: access.order(&route),
+                service: service_hash(&service.name),
+                rank: caller.order(&route),
             }),
         };
-        let call = Call {
-            figures,
-            kept,
-            access,
+        let context = RequestContext {
+            parameters,
+            identifiers,
+            caller,
             routes_version: routes.version,
             route,
             service,
             outbound,
             input,
             arrived,
-            held,
+            memory_guard,
         };
         let granted = RefCell::default();
-        let outcome = self.run(call, story, &granted).await;
+        let outcome = self.run(context, summary, &granted).await;
         if let Err(failure) = &outcome
-            && failure.not_run()
+            && failure.is_not_run()
             && let Some(grant) = granted.take()
         {
-            self.quotas.give_back(&grant);
+            self.quotas.refund(&grant);
         }
         outcome
     }
 
     fn pick_service(&self, routes: &RouteTable, route: &Route) -> Result<ServiceSpec, Failure> {
-        let missing = Failure::come_back(ErrorKind::Unavailable, "no_such_service", AFTER_RECOVERY);
-        let target = self.shares.pick(route).ok_or(missing)?;
+        let missing = Failure::retryable(
+            ErrorKind::Unavailable,
+            "no_such_service",
+            OUTAGE_RETRY_DELAY,
+        );
+        let target = self.traffic_split.next_service(route).ok_or(missing)?;
         routes.service(&target).cloned().ok_or(missing)
     }
 
     async fn run(
         self: &Rc<Self>,
-        mut call: Call,
-        story: &mut Story,
+        mut context: RequestContext,
+        summary: &mut Summary,
         granted: &RefCell<Option<Grant>>,
-    ) -> Result<Response<FrontBody>, Failure> {
-        story.priority = call.access.priority(&call.route);
+    ) -> Result<Response<ResponseBody>, Failure> {
+        summary.priority = context.caller.priority(&context.route);
         let ledger: RefCell<String> = RefCell::default();
-        self.let_begin(&call, story).await?;
+        self.admit_program(&context, summary).await?;
         // What the stores answer may show a better one.
-        let expected = self.expected_placement(&call);
-        let (reservation, transcript) = self.prepare(&call, expected, &ledger, granted).await?;
-        story.ledger = ledger.into_inner();
+        let expected = self.predict_placement(&context);
+        let (reservation, transcript) = self.prepare(&context, expected, &ledger, granted).await?;
+        summary.ledger = ledger.into_inner();
         let mut reservation = match reservation {
             Ok(granted) => granted,
             Err(failure) => return Err(failure),
         };
-        if let Some(previous) = &call.figures.previous {
+        if let Some(previous) = &context.parameters.previous {
             let found = match &transcript {
                 Ok(Some(text)) => format!("{} bytes", text.len()),
                 Ok(None) => "not kept".to_owned(),
                 Err(failure) => failure.cause.to_owned(),
             };
-            story.history = format!("previous={previous} found={found}");
+            summary.history = format!("previous={previous} found={found}");
         }
         if let Some(transcript) = transcript? {
-            if !call.held.take(transcript.len() + call.input.len()) {
-                return Err(no_memory());
+            if !context
+                .memory_guard
+                .try_acquire(transcript.len() + context.input.len())
+            {
+                return Err(out_of_memory());
             }
-            let mut body = Vec::with_capacity(transcript.len() + call.input.len());
+            let mut body = Vec::with_capacity(transcript.len() + context.input.len());
             body.extend_from_slice(&transcript);
-            body.extend_from_slice(&call.input);
-            call.outbound.body = Bytes::from(body);
+            body.extend_from_slice(&context.input);
+            context.outbound.body = Bytes::from(body);
         }
-        self.begun.note(&call.kept.program);
-        story.offered_after = call.arrived.elapsed().as_millis() as u64;
+        self.started_programs.record(&context.identifiers.program);
+        summary.offered_after = context.arrived.elapsed().as_millis() as u64;
         let served = self
-            .offer(&mut call, story, &mut reservation, expected)
+            .dispatch(&mut context, summary, &mut reservation, expected)
             .await?;
-        Ok(self.pass_on(call, served, story, reservation))
+        Ok(self.forward(context, served, summary, reservation))
     }
 
     /// What a turn needs, and its tenant's leave. Both are asked for at once; leave
@@ -253,89 +263,93 @@
     /// its limit costs the stores no records.
     async fn prepare(
         &self,
-        call: &Call,
+        context: &RequestContext,
         expected: Option<Placement>,
         ledger: &RefCell<String>,
         granted: &RefCell<Option<Grant>>,
-    ) -> Result<(Reserved, Found), Failure> {
-        let needs =
-            async { tokio::join!(self.reserve(call, expected, ledger), self.transcript(call)) };
-        let Some(tenant) = &call.access.tenant else {
-            return Ok(needs.await);
+    ) -> Result<(ReservationResult, TranscriptResult), Failure> {
+        let preparation = async {
+            tokio::join!(
+                self.reserve(context, expected, ledger),
+                self.transcript(context)
+            )
+        };
+        let Some(tenant) = &context.caller.tenant else {
+            return Ok(preparation.await);
         };
-        let asked = Asked {
+        let asked = QuotaRequest {
             tenant,
-            program: &call.kept.program,
-            version: call.routes_version,
+            program: &context.identifiers.program,
+            version: context.routes_version,
         };
-        let leave = async {
-            granted.replace(self.quotas.admit(asked).await?);
+        let quota = async {
+            granted.replace(self.quotas.acquire(asked).await?);
             Ok(())
         };
-        if self.quotas.tight(tenant) {
-            leave.await?;
-            return Ok(needs.await);
+        if self.quotas.is_recently_rejected(tenant) {
+            quota.await?;
+            return Ok(preparation.await);
         }
-        let (leave, needed) = tokio::join!(leave, needs);
-        leave?;
-        Ok(needed)
+        let (quota, prepared) = tokio::join!(quota, preparation);
+        quota?;
+        Ok(prepared)
     }
 
-    fn pass_on(
+    fn forward(
         self: &Rc<Self>,
-        call: Call,
-        served: Served,
-        story: &mut Story,
+        context: RequestContext,
+        served: DispatchedResponse,
+        summary: &mut Summary,
         reservation: Option<Reservation>,
-    ) -> Response<FrontBody> {
-        let (answer, missing_tokens) = match served {
-            Served::Whole(head, content) => {
-                story.status = head.status.as_u16();
-                story.outcome = "answered";
-                observe::request_ended(story, call.arrived.elapsed());
-                let body = FrontBody::whole(content).holding(call.held);
+    ) -> Response<ResponseBody> {
+        let (answer, uncached_tokens) = match served {
+            DispatchedResponse::Whole(head, content) => {
+                summary.status = head.status.as_u16();
+                summary.outcome = "answered";
+                observe::request_ended(summary, context.arrived.elapsed());
+                let body = ResponseBody::full(content).with_memory(context.memory_guard);
                 return from_replica(&head, body);
             }
-            Served::Stream(answer, missing_tokens) => (*answer, missing_tokens),
+            DispatchedResponse::Stream(answer, uncached_tokens) => (*answer, uncached_tokens),
         };
         let (head, body) = answer.response.into_parts();
-        let mut story = std::mem::take(story);
-        story.status = head.status.as_u16();
-        let engine = call.service.engine.as_ref();
-        let keeping = Keeping {
+        let mut summary = std::mem::take(summary);
+        summary.status = head.status.as_u16();
+        let engine = context.service.engine.as_ref();
+        let storage = TurnStorage {
             history: self.history.clone(),
-            input: call.route.keeps_history.then(|| call.input.clone()),
-            retention: call.route.retention,
+            input: context.route.keeps_history.then(|| context.input.clone()),
+            retention: context.route.retention,
             reservation,
             tokens_per_event: engine.map_or(0, |engine| engine.tokens_per_event),
         };
-        let relay = Relay {
-            deadline: call.outbound.deadline,
-            keeping,
-            kept: call.kept,
-            most_tokens: call.figures.most_tokens,
-            answer: Carrier {
+        let relay = StreamRelay {
+            deadline: context.outbound.deadline,
+            storage,
+            identifiers: context.identifiers,
+            max_tokens: context.parameters.max_tokens,
+            upstream: UpstreamStream {
                 connection: answer.connection,
                 replica: answer.replica,
                 guard: answer.guard,
                 sent: answer.sent,
-                missing_tokens,
+                uncached_tokens,
             },
-            story,
-            arrived: call.arrived,
-            _held: call.held,
+            summary,
+            arrived: context.arrived,
+            _memory_guard: context.memory_guard,
         };
-        let (pieces, receiver) = mpsc::channel(PIECES_AHEAD);
-        let active = self.activity.begin();
+        let (chunks, receiver) = mpsc::channel(CHUNK_BUFFER);
+        let active = self.requests.track();
         tokio::task::spawn_local(async move {
-            relay.run(body, pieces).await;
+            relay.run(body, chunks).await;
             drop(active);
         });
-        from_replica(&head, FrontBody::Pieces(receiver))
+        from_replica(&head, ResponseBody::Stream(receiver))
     }
 }
 
-fn from_replica(head: &hyper::http::response::Parts, body: FrontBody) -> Response<FrontBody> {
+fn from_replica(head: &hyper::http::response::Parts, body: ResponseBody) -> Response<ResponseBody> {
     let mut response = Response::new(body);
     *response.status_mut() = head.status;
     *response.headers_mut() = end_to_end_headers(&head.headers);
@@ -344,40 +358,44 @@
 
 /// Reads a request's body. Memory is taken for its whole length at once where
 /// it is told, else as it comes.
-async fn read_body(body: Incoming, limit: usize, held: &mut Held) -> Result<Bytes, Failure> {
-    let told = body.size_hint().exact().map(|length| length as usize);
-    if let Some(length) = told
+async fn read_body(
+    body: Incoming,
+    limit: usize,
+    memory_guard: &mut MemoryGuard,
+) -> Result<Bytes, Failure> {
+    let announced = body.size_hint().exact().map(|length| length as usize);
+    if let Some(length) = announced
         && length <= limit
-        && !held.take(length)
+        && !memory_guard.try_acquire(length)
     {
-        return Err(no_memory());
+        return Err(out_of_memory());
     }
     let mut body = Limited::new(body, limit);
-    let mut pieces: Vec<Bytes> = Vec::new();
+    let mut chunks: Vec<Bytes> = Vec::new();
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.map_err(body_failure)?.into_data() else {
             continue;
         };
-        if told.is_none() && !held.take(data.len()) {
-            return Err(no_memory());
+        if announced.is_none() && !memory_guard.try_acquire(data.len()) {
+            return Err(out_of_memory());
         }
-        pieces.push(data);
+        chunks.push(data);
     }
-    match pieces.len() {
+    match chunks.len() {
         0 => Ok(Bytes::new()),
-        1 => Ok(pieces.remove(0)),
-        _ => Ok(Bytes::from(pieces.concat())),
+        1 => Ok(chunks.remove(0)),
+        _ => Ok(Bytes::from(chunks.concat())),
     }
 }
 
 fn body_failure(error: Box<dyn std::error::Error + Send + Sync>) -> Failure {
     match error.is::<http_body_util::LengthLimitError>() {
-        true => Failure::last(ErrorKind::TooLarge, "body_too_large"),
-        false => Failure::last(ErrorKind::BadRequest, "body_broke_off"),
+        true => Failure::permanent(ErrorKind::TooLarge, "body_too_large"),
+        false => Failure::permanent(ErrorKind::BadRequest, "body_broke_off"),
     }
 }
 
 /// A request for which the front has no memory; it was not run.
-fn no_memory() -> Failure {
-    Failure::come_back(ErrorKind::Overloaded, "no_memory", SOON)
+fn out_of_memory() -> Failure {
+    Failure::retryable(ErrorKind::Overloaded, "no_memory", SHORT_RETRY_DELAY)
 }
--- a/crates/stageyoke-front/src/health.rs
+++ b/crates/stageyoke-front/src/health.rs
@@ -16,14 +16,14 @@
 /// runs there, so a single one is beyond `CAUTION`.
 const RESET_WEIGHT: f64 = 0.5;
 /// Time in which an estimate halves by itself, so that a replica is tried again.
-const HALF_LIFE: Duration = Duration::from_millis(1500);
+const ESTIMATE_HALF_LIFE: Duration = Duration::from_millis(1500);
 /// Beyond this estimate a replica gets no request that may run only once.
-pub const CAUTION: f64 = 0.3;
+pub const CAUTION_THRESHOLD: f64 = 0.3;
 /// Beyond this estimate a replica gets no request at all.
-pub const SUSPENSION: f64 = 0.6;
+pub const SUSPENSION_THRESHOLD: f64 = 0.6;
 /// What each other front that has lost trust in a replica adds: the word of one
 /// alone excludes nothing, as single answers get lost at sound replicas too.
-const REPORT_WEIGHT: f64 = 0.25;
+const PEER_REPORT_WEIGHT: f64 = 0.25;
 
 /// What one request showed of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,8 +49,8 @@
 
 impl Health {
     /// Takes the outcome of a request.
-    pub fn note(&mut self, evidence: Evidence, now: Instant) {
-        let before = self.failure(now);
+    pub fn record(&mut self, evidence: Evidence, now: Instant) {
+        let before = self.failure_probability(now);
         let worse_by = |weight: f64| before + weight * (1.0 - before);
         self.estimate = match evidence {
             Evidence::Sound => before * (1.0 - OUTCOME_WEIGHT),
@@ -62,33 +62,33 @@
     }
 
     /// Likelihood that the next request fails, 0 to 1.
-    pub fn failure(&self, now: Instant) -> f64 {
+    pub fn failure_probability(&self, now: Instant) -> f64 {
         let Some(at) = self.at else {
             return 0.0;
         };
         let passed = now.saturating_duration_since(at).as_secs_f64();
-        self.estimate * (-passed / HALF_LIFE.as_secs_f64()).exp2()
+        self.estimate * (-passed / ESTIMATE_HALF_LIFE.as_secs_f64()).exp2()
     }
 
     /// How long the estimate stays beyond `CAUTION` without another outcome.
-    pub fn cautious_for(&self, now: Instant) -> Duration {
-        let failure = self.failure(now);
-        if failure <= CAUTION {
+    pub fn time_above_caution(&self, now: Instant) -> Duration {
+        let failure = self.failure_probability(now);
+        if failure <= CAUTION_THRESHOLD {
             return Duration::ZERO;
         }
-        HALF_LIFE.mul_f64((failure / CAUTION).log2())
+        ESTIMATE_HALF_LIFE.mul_f64((failure / CAUTION_THRESHOLD).log2())
     }
 }
 
 /// The estimate of one front together with the reports of others.
-pub fn combined(own: f64, reports: u16) -> f64 {
-    own.max((REPORT_WEIGHT * f64::from(reports)).min(1.0))
+pub fn combine_estimates(own: f64, reports: u16) -> f64 {
+    own.max((PEER_REPORT_WEIGHT * f64::from(reports)).min(1.0))
 }
 
 /// The estimate up to which a replica is offered a request.
 pub fn accepted_failure(repeatable: bool) -> f64 {
     match repeatable {
-        true => SUSPENSION,
-        false => CAUTION,
+        true => SUSPENSION_THRESHOLD,
+        false => CAUTION_THRESHOLD,
     }
 }
--- a/crates/stageyoke-front/src/history.rs
+++ b/crates/stageyoke-front/src/history.rs
@@ -15,15 +15,15 @@
 use stageyoke_types::{Blob, Text};
 use tokio::time::Instant;
 
-use crate::request::KeptIdentifiers;
+use crate::request::ScopedIdentifiers;
 
 /// Bytes of recent turns that a front keeps to spare reads.
-const CACHE_BYTES: usize = 6 * 1024 * 1024;
+const TURN_CACHE_BYTES: usize = 6 * 1024 * 1024;
 /// One try of a commit.
-const COMMIT_TRY: Duration = Duration::from_millis(1500);
-const COMMIT_PAUSE: Duration = Duration::from_millis(60);
+const COMMIT_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1500);
+const COMMIT_RETRY_DELAY: Duration = Duration::from_millis(60);
 /// How long a settlement is tried.
-const SETTLE_WITHIN: Duration = Duration::from_millis(2500);
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// What came of looking for a chain.
 pub enum Transcript {
@@ -32,7 +32,7 @@
     /// No kept turn has this identifier.
     Absent,
     /// It cannot be known now.
-    Unsure,
+    Unknown,
 }
 
 /// History and budgets, through the store groups.
@@ -47,7 +47,7 @@
     pub fn new(stores: Rc<Groups>) -> Self {
         Self {
             stores,
-            cache: RefCell::new(RecentTurns::new(CACHE_BYTES)),
+            cache: RefCell::new(RecentTurns::new(TURN_CACHE_BYTES)),
         }
     }
 
@@ -64,7 +64,7 @@
                 ChainOutcome::Whole(rest) => parts.extend(rest),
                 ChainOutcome::Absent(absent) if absent == *turn => return Transcript::Absent,
                 // An ancestor of a turn that exists is never simply absent.
-                ChainOutcome::Absent(_) | ChainOutcome::Unsure => return Transcript::Unsure,
+                ChainOutcome::Absent(_) | ChainOutcome::Unsure => return Transcript::Unknown,
             }
         }
         let mut text = BytesMut::new();
@@ -122,7 +122,7 @@
             turn: turn.clone(),
             used,
         };
-        self.stores.append_in_background(record, SETTLE_WITHIN);
+        self.stores.append_in_background(record, SETTLE_TIMEOUT);
     }
 
     /// Keeps a finished turn; returns once a write quorum has it on disk.
@@ -130,7 +130,7 @@
         let began = Instant::now();
         loop {
             let left = deadline.saturating_duration_since(Instant::now());
-            let within = left.min(COMMIT_TRY);
+            let within = left.min(COMMIT_ATTEMPT_TIMEOUT);
             let error = match self
                 .stores
                 .append(Record::Turn(record.clone()), within)
@@ -139,10 +139,10 @@
                 Ok(_) => break,
                 Err(error) => error,
             };
-            if Instant::now() + COMMIT_PAUSE >= deadline {
+            if Instant::now() + COMMIT_RETRY_DELAY >= deadline {
                 return Err(error);
             }
-            tokio::time::sleep(COMMIT_PAUSE).await;
+            tokio::time::sleep(COMMIT_RETRY_DELAY).await;
         }
         metrics()
             .commit_seconds
@@ -163,7 +163,7 @@
     program: Text,
     turn: Text,
     may_have_run: bool,
-    told_end: bool,
+    end_reported: bool,
 }
 
 impl Reservation {
@@ -174,7 +174,7 @@
             program,
             turn,
             may_have_run: false,
-            told_end: false,
+            end_reported: false,
         }
     }
 
@@ -184,20 +184,20 @@
     }
 
     /// The turn is to run there.
-    pub fn place(&self, placement: Placement) {
+    pub fn report_placement(&self, placement: Placement) {
         let stores = &self.history.stores;
         stores.tell_placed(&self.program, &self.turn, placement);
     }
 
     /// The turn's record tells that it is over.
-    pub fn is_recorded(&mut self) {
-        self.told_end = true;
+    pub fn mark_recorded(&mut self) {
+        self.end_reported = true;
     }
 
     /// Settles the turn, which has ended whole.
     pub fn settle(&mut self, used: u32) {
         self.may_have_run = true;
-        self.told_end = true;
+        self.end_reported = true;
         self.history.settle(&self.program, &self.turn, used);
     }
 }
@@ -206,7 +206,7 @@
     fn drop(&mut self) {
         if !self.may_have_run {
             self.history.settle(&self.program, &self.turn, 0);
-        } else if !self.told_end {
+        } else if !self.end_reported {
             let stores = &self.history.stores;
             stores.tell_ended(&self.program, &self.turn);
         }
@@ -215,16 +215,16 @@
 
 /// The record of a turn.
 pub fn turn_record(
-    kept: &KeptIdentifiers,
+    identifiers: &ScopedIdentifiers,
     input: Bytes,
     output: Vec<u8>,
     used: u32,
     retention: Duration,
 ) -> TurnRecord {
     TurnRecord {
-        turn: kept.turn.clone(),
-        program: kept.program.clone(),
-        previous: kept.previous.clone().unwrap_or_default(),
+        turn: identifiers.turn.clone(),
+        program: identifiers.program.clone(),
+        previous: identifiers.previous.clone().unwrap_or_default(),
         input: Blob(input),
         output: Blob::from(output),
         used,
--- a/crates/stageyoke-front/src/line_pause.rs
+++ b/crates/stageyoke-front/src/log_limiter.rs
@@ -7,20 +7,20 @@
 
 /// Time between two lines on one condition: soon enough to see when it begins and
 /// ends, and few beside the lines of requests.
-const PAUSE: Duration = Duration::from_millis(1000);
+const LOG_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// When the last line on a condition was written.
 #[derive(Debug, Default)]
-pub(crate) struct LinePause {
+pub(crate) struct LogRateLimiter {
     written_at: Cell<Option<Instant>>,
 }
 
-impl LinePause {
+impl LogRateLimiter {
     /// Whether a line may be written now; if so, it counts as written.
-    pub(crate) fn take(&self) -> bool {
+    pub(crate) fn try_acquire(&self) -> bool {
         let now = Instant::now();
         let written_at = self.written_at.get();
-        let due = written_at.is_none_or(|at| at + PAUSE <= now);
+        let due = written_at.is_none_or(|at| at + LOG_INTERVAL <= now);
         if due {
             self.written_at.set(Some(now));
         }
--- a/crates/stageyoke-front/src/placement.rs
+++ b/crates/stageyoke-front/src/placement.rs
@@ -10,45 +10,45 @@
     /// Hash of the replica's identifier.
     pub hash: u64,
     /// Whether it is in this front's zone.
-    pub local: bool,
+    pub same_zone: bool,
     /// Requests of this front that it works on.
     pub in_flight: u32,
     /// Requests that it works on at once.
     pub slots: u32,
     /// Its deviation from the service's rates: 2 means half as fast.
-    pub slowness: f64,
+    pub slowdown: f64,
     /// Likelihood that it fails the request, 0 to 1.
-    pub failure: f64,
+    pub failure_probability: f64,
     /// Tokens from the prompt's start that it is believed to hold.
-    pub held_tokens: u32,
+    pub cached_tokens: u32,
     /// Whether it serves the programs of the request's store group first: what
     /// is in flight there is known best.
     pub in_cell: bool,
     /// Whether a kept connection to it is free.
-    pub connected: bool,
+    pub has_idle_connection: bool,
     /// Whether it may be chosen at all.
-    pub usable: bool,
+    pub eligible: bool,
 }
 
 /// Likelihood of failure that is counted at most.
-const MOST_FAILURE: f64 = 0.9;
+const MAX_FAILURE_PROBABILITY: f64 = 0.9;
 /// Milliseconds that another zone costs.
-const REMOTE_COST: f64 = 4.0;
+const REMOTE_ZONE_COST_MS: f64 = 4.0;
 /// Milliseconds that a new connection costs.
-const CONNECTION_COST: f64 = 3.0;
+const CONNECT_COST_MS: f64 = 3.0;
 /// Requests in flight that a replica without a free connection counts as
 /// having more.
-const CONNECTION_HANDICAP: f64 = 0.8;
+const CONNECT_PENALTY: f64 = 0.8;
 /// What the engine gets that the program's hash ranks first, where no engine is
 /// known to hold the program's prompt: at least this many milliseconds, or this
 /// part of reading all of it.
-const HOME_BONUS: f64 = 10.0;
-const HOME_PART: f64 = 0.6;
+const MIN_HOME_BONUS_MS: f64 = 10.0;
+const HOME_BONUS_FRACTION: f64 = 0.6;
 /// Engines from which on a zone's programs have their homes in the zone. With
 /// fewer, a burst finds some homes full while other zones' engines are free.
-const ENGINES_OF_A_ZONE: usize = 8;
+const MIN_ZONE_ENGINES: usize = 8;
 /// Requests in flight that a replica of another zone counts as having more.
-const REMOTE_HANDICAP: f64 = 2.5;
+const REMOTE_ZONE_PENALTY: f64 = 2.5;
 
 /// Chooses a model engine: the least time that the turn takes there together
 /// with the time that it takes from the turns beside it, by the rates learnt
@@ -61,22 +61,24 @@
     rates: &CurrentRates,
 ) -> Option<usize> {
     let cell_has_room = candidates.iter().any(|candidate| {
-        candidate.in_cell && candidate.usable && candidate.in_flight < candidate.slots
+        candidate.in_cell && candidate.eligible && candidate.in_flight < candidate.slots
     });
     let allowed = |candidate: &Candidate| {
-        let holds_most = candidate.held_tokens * 2 > prompt_tokens;
-        candidate.usable && (!cell_has_room || candidate.in_cell || holds_most)
+        let holds_most = candidate.cached_tokens * 2 > prompt_tokens;
+        candidate.eligible && (!cell_has_room || candidate.in_cell || holds_most)
     };
-    let home = home_of(candidates, affinity)?;
-    let known = candidates.iter().map(|candidate| candidate.held_tokens);
+    let home = home_engine(candidates, affinity)?;
+    let known = candidates.iter().map(|candidate| candidate.cached_tokens);
     let someone_holds_most = known.max().unwrap_or_default() * 2 > prompt_tokens;
     let home_bonus = match someone_holds_most {
         true => 0.0,
-        false => HOME_BONUS.max(HOME_PART * f64::from(prompt_tokens) * rates.reading),
+        false => {
+            MIN_HOME_BONUS_MS.max(HOME_BONUS_FRACTION * f64::from(prompt_tokens) * rates.prefill_ms)
+        }
     };
     let cost = |index: usize, candidate: &Candidate| {
         let bonus = if index == home { home_bonus } else { 0.0 };
-        turn_cost(candidate, prompt_tokens, rates) + way_cost(candidate) - bonus
+        turn_cost(candidate, prompt_tokens, rates) + network_cost(candidate) - bonus
     };
     candidates
         .iter()
@@ -93,43 +95,48 @@
     let slots = f64::from(candidate.slots.max(1));
     let in_flight = f64::from(candidate.in_flight);
     let beside = in_flight.min(slots - 1.0);
-    let missing = prompt_tokens.saturating_sub(candidate.held_tokens);
-    let reading = f64::from(missing) * rates.reading;
+    let missing = prompt_tokens.saturating_sub(candidate.cached_tokens);
+    let reading = f64::from(missing) * rates.prefill_ms;
     // One slot gets free in a turn's time divided by the slots.
     let ahead = (in_flight + 1.0 - slots).max(0.0);
-    let waiting = ahead / slots * rates.turn_beside(slots - 1.0);
-    let own = reading + rates.turn_beside(beside) + waiting;
-    (own * tries(candidate) + beside * reading) * candidate.slowness
+    let waiting = ahead / slots * rates.turn_time(slots - 1.0);
+    let own = reading + rates.turn_time(beside) + waiting;
+    (own * expected_attempts(candidate) + beside * reading) * candidate.slowdown
 }
 
 /// Tries until the request succeeds, as far as the likelihood tells. A replica
 /// that cuts answers short looks idle, and would draw work otherwise.
-fn tries(candidate: &Candidate) -> f64 {
-    1.0 / (1.0 - candidate.failure.min(MOST_FAILURE))
+fn expected_attempts(candidate: &Candidate) -> f64 {
+    1.0 / (1.0 - candidate.failure_probability.min(MAX_FAILURE_PROBABILITY))
 }
 
-fn way_cost(candidate: &Candidate) -> f64 {
-    let way = if candidate.local { 0.0 } else { REMOTE_COST };
-    let connection = if candidate.connected {
+fn network_cost(candidate: &Candidate) -> f64 {
+    let way = if candidate.same_zone {
         0.0
     } else {
-        CONNECTION_COST
+        REMOTE_ZONE_COST_MS
+    };
+    let connection = if candidate.has_idle_connection {
+        0.0
+    } else {
+        CONNECT_COST_MS
     };
     way + connection
 }
 
 /// The engine that a program's hash ranks first: among the zone's own, which
 /// spares connections and the way, where they are enough for the zone's bursts.
-fn home_of(candidates: &[Candidate], affinity: u64) -> Option<usize> {
+fn home_engine(candidates: &[Candidate], affinity: u64) -> Option<usize> {
     let divided = candidates
         .iter()
-        .any(|candidate| candidate.in_cell && candidate.usable);
+        .any(|candidate| candidate.in_cell && candidate.eligible);
     let in_reach = |candidate: &Candidate| candidate.in_cell || !divided;
-    let own = |candidate: &Candidate| candidate.local && candidate.usable && in_reach(candidate);
+    let own =
+        |candidate: &Candidate| candidate.same_zone && candidate.eligible && in_reach(candidate);
     let own_engines = candidates.iter().filter(|candidate| own(candidate)).count();
-    let zone_only = own_engines >= ENGINES_OF_A_ZONE;
+    let zone_only = own_engines >= MIN_ZONE_ENGINES;
     best_by_affinity(candidates, affinity, |candidate| {
-        in_reach(candidate) && (candidate.local || !zone_only)
+        in_reach(candidate) && (candidate.same_zone || !zone_only)
     })
 }
 
@@ -147,29 +154,29 @@
     candidates
         .iter()
         .enumerate()
-        .filter(|(_, candidate)| candidate.usable && fits(candidate))
+        .filter(|(_, candidate)| candidate.eligible && fits(candidate))
         .max_by_key(|(_, candidate)| mix(candidate.hash ^ affinity))
         .map(|(index, _)| index)
 }
 
 fn least_loaded(candidates: &[Candidate], tie: u64) -> Option<usize> {
     let load = |candidate: &Candidate| {
-        let handicap = if candidate.local {
+        let handicap = if candidate.same_zone {
             0.0
         } else {
-            REMOTE_HANDICAP
+            REMOTE_ZONE_PENALTY
         };
-        let connection = match candidate.connected {
+        let connection = match candidate.has_idle_connection {
             true => 0.0,
-            false => CONNECTION_HANDICAP,
+            false => CONNECT_PENALTY,
         };
-        let work = (f64::from(candidate.in_flight) + 1.0) * candidate.slowness;
+        let work = (f64::from(candidate.in_flight) + 1.0) * candidate.slowdown;
         (work + handicap + connection) / f64::from(candidate.slots.max(1))
     };
     candidates
         .iter()
         .enumerate()
-        .filter(|(_, candidate)| candidate.usable)
+        .filter(|(_, candidate)| candidate.eligible)
         .min_by(|(_, one), (_, other)| {
             load(one)
                 .total_cmp(&load(other))
--- a/crates/stageyoke-front/src/prompt.rs
+++ b/crates/stageyoke-front/src/prompt_cache.rs
@@ -44,23 +44,23 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct CachedPart {
     tokens: u32,
     last_use: u64,
 }
 
 /// What one engine is believed to hold; the parts unused longest give way.
 #[derive(Debug, Default)]
-pub struct HeldParts {
-    parts: HashMap<u64, Held>,
+pub struct PromptCache {
+    parts: HashMap<u64, CachedPart>,
     by_use: BTreeMap<u64, u64>,
     tokens: u64,
     uses: u64,
 }
 
-impl HeldParts {
+impl PromptCache {
     /// Tokens of the prompt's leading parts that are held.
-    pub fn held(&self, prompt: &Prompt) -> u32 {
+    pub fn cached_tokens(&self, prompt: &Prompt) -> u32 {
         prompt
             .parts
             .iter()
@@ -70,7 +70,7 @@
     }
 
     /// The engine reads this prompt; it holds at most `capacity` tokens.
-    pub fn read(&mut self, prompt: &Prompt, capacity: u64) {
+    pub fn record_prompt(&mut self, prompt: &Prompt, capacity: u64) {
         // The last part is used last: what comes first must stay longest.
         for part in prompt.parts.iter().rev() {
             self.touch(*part);
@@ -79,19 +79,19 @@
             let Some((_, oldest)) = self.by_use.pop_first() else {
                 return;
             };
-            if let Some(held) = self.parts.remove(&oldest) {
-                self.tokens -= u64::from(held.tokens);
+            if let Some(cached) = self.parts.remove(&oldest) {
+                self.tokens -= u64::from(cached.tokens);
             }
         }
     }
 
     fn touch(&mut self, part: PromptPart) {
         self.uses += 1;
-        let held = Held {
+        let cached = CachedPart {
             tokens: part.tokens,
             last_use: self.uses,
         };
-        if let Some(before) = self.parts.insert(part.part, held) {
+        if let Some(before) = self.parts.insert(part.part, cached) {
             self.by_use.remove(&before.last_use);
             self.tokens -= u64::from(before.tokens);
         }
--- a/crates/stageyoke-front/src/names.rs
+++ b/crates/stageyoke-front/src/protocol_names.rs
@@ -9,12 +9,12 @@
     /// Header that carries it; a caller's own is taken away.
     pub header: HeaderName,
     /// The highest number, which is the least urgent.
-    pub last: u8,
+    pub least_urgent: u8,
 }
 
 /// Names that the front reads and writes.
 #[derive(Clone, Debug)]
-pub struct Names {
+pub struct ProtocolNames {
     /// Identifier of one try; echoed in the answer.
     pub request_id: HeaderName,
     /// Milliseconds that the caller, or a replica, has.
@@ -32,7 +32,7 @@
     /// Program of a request.
     pub program: HeaderName,
     /// Milliseconds until the program should be over.
-    pub finish: HeaderName,
+    pub program_deadline: HeaderName,
     /// Tokens that all turns of the program may generate.
     pub budget: HeaderName,
     /// Turn that a request goes on from.
--- a/crates/stageyoke-front/src/quota.rs
+++ b/crates/stageyoke-front/src/quota.rs
@@ -17,28 +17,28 @@
 use stageyoke_types::{ErrorKind, Event, Text};
 use tokio::time::Instant;
 
-use crate::answer::Failure;
-use crate::handler::SOON;
-use crate::line_pause::LinePause;
+use crate::failure::Failure;
+use crate::handler::SHORT_RETRY_DELAY;
+use crate::log_limiter::LogRateLimiter;
 
 /// Part of its limit that a tenant has through fronts which reach no owner, all of
 /// them together: what they grant comes on top of what owners grant to others.
-const SHARE_PART: f64 = 0.5;
+const LOCAL_SHARE_FRACTION: f64 = 0.5;
 /// Fronts among which that part is divided while no store has told their number:
 /// as many as the middle ones of the known deployments have.
-const FRONTS_UNTOLD: u16 = 64;
+const DEFAULT_FRONT_COUNT: u16 = 64;
 /// After a refusal a tenant's requests are asked for before anything else is done
 /// for them, for this long: most will be refused as well.
-const TIGHT_FOR: Duration = Duration::from_millis(1000);
+const RECENT_REJECTION_PERIOD: Duration = Duration::from_millis(1000);
 /// Tenants that are remembered; the longest unused go.
-const MOST_TENANTS: usize = 4096;
+const MAX_TENANTS: usize = 4096;
 
 /// What this front knows of a tenant.
 #[derive(Debug)]
-struct Known {
+struct TenantState {
     share: Bucket,
     version: u64,
-    refused_at: Option<Duration>,
+    rejected_at: Option<Duration>,
     used_at: Duration,
 }
 
@@ -47,13 +47,13 @@
     stores: Rc<Groups>,
     started: Instant,
     fronts: Cell<u16>,
-    tenants: RefCell<HashMap<u64, Known>>,
-    lines: LinePause,
+    tenants: RefCell<HashMap<u64, TenantState>>,
+    log_limiter: LogRateLimiter,
 }
 
 /// One request, as its tenant's limit sees it.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct QuotaRequest<'a> {
     /// Who makes it.
     pub tenant: &'a Tenant,
     /// Its program, as stores know it; empty if none.
@@ -68,24 +68,24 @@
         Self {
             stores,
             started: Instant::now(),
-            fronts: Cell::new(FRONTS_UNTOLD),
+            fronts: Cell::new(DEFAULT_FRONT_COUNT),
             tenants: RefCell::default(),
-            lines: LinePause::default(),
+            log_limiter: LogRateLimiter::default(),
         }
     }
 
     /// Whether a request of this tenant was refused a moment ago.
-    pub fn tight(&self, tenant: &Tenant) -> bool {
+    pub fn is_recently_rejected(&self, tenant: &Tenant) -> bool {
         let tenants = self.tenants.borrow();
-        let known = tenants.get(&key(tenant));
-        let refused_at = known.and_then(|known| known.refused_at);
-        refused_at.is_some_and(|at| at + TIGHT_FOR > self.started.elapsed())
+        let state = tenants.get(&key(tenant));
+        let rejected_at = state.and_then(|state| state.rejected_at);
+        rejected_at.is_some_and(|at| at + RECENT_REJECTION_PERIOD > self.started.elapsed())
     }
 
     /// Counts a request, or refuses it: it was not run then. Tells the grant, where an
     /// owner has given one.
-    pub async fn admit(&self, asked: Asked<'_>) -> Result<Option<Grant>, Failure> {
-        let Some(limit) = asked.tenant.limit else {
+    pub async fn acquire(&self, request: QuotaRequest<'_>) -> Result<Option<Grant>, Failure> {
+        let Some(limit) = request.tenant.limit else {
             return Ok(None);
         };
         let limit = Limit {
@@ -93,33 +93,33 @@
             burst: limit.burst,
         };
         let question = Question {
-            tenant: key(asked.tenant),
-            program: match asked.program.is_empty() {
+            tenant: key(request.tenant),
+            program: match request.program.is_empty() {
                 true => 0,
-                false => TurnKey::of(asked.program).0,
+                false => TurnKey::of(request.program).0,
             },
             limit,
-            version: asked.version,
+            version: request.version,
             standby: false,
         };
-        let (verdict, grant) = self.ask_owners(question).await;
+        let (verdict, grant) = self.query_owners(question).await;
         let now = self.started.elapsed();
         match verdict {
             Verdict::Granted => Ok(grant),
             Verdict::Refused(after) => {
-                self.known(&question, now, |known| known.refused_at = Some(now));
-                Err(refusal("quota_spent", after))
+                self.with_tenant(&question, now, |state| state.rejected_at = Some(now));
+                Err(rejection("quota_spent", after))
             }
             Verdict::Unknown => self.take_share(&question, now).map(|()| None),
         }
     }
 
     /// A request that was granted has not run: its tenant may make another one.
-    pub fn give_back(&self, grant: &Grant) {
+    pub fn refund(&self, grant: &Grant) {
         self.stores.give_back(grant);
     }
 
-    async fn ask_owners(&self, question: Question) -> (Verdict, Option<Grant>) {
+    async fn query_owners(&self, question: Question) -> (Verdict, Option<Grant>) {
         if self.stores.all_failing_for().is_some() {
             return (Verdict::Unknown, None);
         }
@@ -133,53 +133,60 @@
     }
 
     fn take_share(&self, question: &Question, now: Duration) -> Result<(), Failure> {
-        self.tell_unknown();
-        let granted = self.known(question, now, |known| known.share.take(now));
+        self.log_unknown();
+        let granted = self.with_tenant(question, now, |state| state.share.take(now));
         match granted {
             true => Ok(()),
-            false => Err(refusal("quota_share_spent", SOON)),
+            false => Err(rejection("quota_share_spent", SHORT_RETRY_DELAY)),
         }
     }
 
-    fn tell_unknown(&self) {
-        if self.lines.take() {
+    fn log_unknown(&self) {
+        if self.log_limiter.try_acquire() {
             let detail = format!("fronts={}", self.fronts.get());
             observe::event(Event::QuotaUnknown, &detail);
         }
     }
 
-    fn known<T>(&self, question: &Question, now: Duration, act: impl FnOnce(&mut Known) -> T) -> T {
+    fn with_tenant<T>(
+        &self,
+        question: &Question,
+        now: Duration,
+        act: impl FnOnce(&mut TenantState) -> T,
+    ) -> T {
         let mut tenants = self.tenants.borrow_mut();
-        if tenants.len() >= MOST_TENANTS && !tenants.contains_key(&question.tenant) {
-            forget_unused(&mut tenants);
+        if tenants.len() >= MAX_TENANTS && !tenants.contains_key(&question.tenant) {
+            evict_unused(&mut tenants);
         }
-        let part = SHARE_PART / f64::from(self.fronts.get());
+        let part = LOCAL_SHARE_FRACTION / f64::from(self.fronts.get());
         let limit = question.limit.part(part);
-        let known = tenants.entry(question.tenant).or_insert_with(|| Known {
-            share: Bucket::new(limit, limit.burst, now),
-            version: question.version,
-            refused_at: None,
-            used_at: now,
-        });
-        if question.version > known.version || known.share.limit() != limit {
-            known.version = known.version.max(question.version);
-            known.share.set_limit(limit, now);
+        let state = tenants
+            .entry(question.tenant)
+            .or_insert_with(|| TenantState {
+                share: Bucket::new(limit, limit.burst, now),
+                version: question.version,
+                rejected_at: None,
+                used_at: now,
+            });
+        if question.version > state.version || state.share.limit() != limit {
+            state.version = state.version.max(question.version);
+            state.share.set_limit(limit, now);
         }
-        known.used_at = now;
-        act(known)
+        state.used_at = now;
+        act(state)
     }
 }
 
 /// Half of them go, so that the next look is far away.
-fn forget_unused(tenants: &mut HashMap<u64, Known>) {
-    let mut uses: Vec<Duration> = tenants.values().map(|known| known.used_at).collect();
+fn evict_unused(tenants: &mut HashMap<u64, TenantState>) {
+    let mut uses: Vec<Duration> = tenants.values().map(|state| state.used_at).collect();
     uses.sort_unstable();
     let middle = uses.get(uses.len() / 2).copied().unwrap_or_default();
-    tenants.retain(|_, known| known.used_at > middle);
+    tenants.retain(|_, state| state.used_at > middle);
 }
 
-fn refusal(cause: &'static str, after: Duration) -> Failure {
-    Failure::come_back(ErrorKind::QuotaSpent, cause, after)
+fn rejection(cause: &'static str, after: Duration) -> Failure {
+    Failure::retryable(ErrorKind::QuotaSpent, cause, after)
 }
 
 fn key(tenant: &Tenant) -> u64 {
--- a/crates/stageyoke-front/src/replica.rs
+++ b/crates/stageyoke-front/src/replica.rs
@@ -12,20 +12,20 @@
 use stageyoke_types::{Event, Text};
 use tokio::time::Instant;
 
-use crate::engine_rates::{EngineRates, Slowness, TurnTiming};
-use crate::fleet::Wanted;
+use crate::connection_pool::{Connection, ConnectionPool};
+use crate::engine_rates::{EngineRates, Slowdown, TurnTiming};
 use crate::health::{self, Evidence, Health};
+use crate::idle_limit::IdleLimit;
 use crate::placement::{Candidate, hash_text};
-use crate::prompt::{HeldParts, Prompt};
-use crate::rest::RestLimit;
-use crate::upstream::{Connection, Pool};
+use crate::prompt_cache::{Prompt, PromptCache};
+use crate::replica_registry::ReplicaQuery;
 
 /// What replicas share.
-pub struct Shared {
+pub struct SharedState {
     /// Counts what is under way.
     pub load: Rc<LoadBoard>,
     /// How long connections may rest.
-    pub rest_limit: Rc<Cell<RestLimit>>,
+    pub idle_limit: Rc<Cell<IdleLimit>>,
     /// Rates of the service's engines.
     pub rates: Rc<Cell<EngineRates>>,
 }
@@ -37,16 +37,16 @@
     /// Its record when it was first seen.
     pub record: ReplicaRecord,
     /// Kept connections.
-    pub pool: Pool,
+    pub pool: ConnectionPool,
     hash: u64,
     load: Rc<LoadBoard>,
-    rest_limit: Rc<Cell<RestLimit>>,
-    held_parts: RefCell<HeldParts>,
+    idle_limit: Rc<Cell<IdleLimit>>,
+    prompt_cache: RefCell<PromptCache>,
     rates: Rc<Cell<EngineRates>>,
-    slowness: Cell<Slowness>,
+    slowdown: Cell<Slowdown>,
     health: Cell<Health>,
     suspended: Cell<bool>,
-    gone: Cell<bool>,
+    removed: Cell<bool>,
     lapsed_until: Cell<Option<Instant>>,
     /// The newest that was said of its start: orders are counted up in it.
     start: Cell<ReplicaStart>,
@@ -55,30 +55,30 @@
 
 impl Replica {
     /// A replica that nothing was seen of yet.
-    pub fn new(id: Text, record: ReplicaRecord, shared: Shared) -> Self {
+    pub fn new(id: Text, record: ReplicaRecord, shared: SharedState) -> Self {
         Self {
             hash: incarnation_hash(&id, &record),
             start: Cell::new(record.start),
             load: shared.load,
-            rest_limit: shared.rest_limit,
+            idle_limit: shared.idle_limit,
             rates: shared.rates,
-            slowness: Cell::default(),
-            held_parts: RefCell::default(),
+            slowdown: Cell::default(),
+            prompt_cache: RefCell::default(),
             id,
             record,
-            pool: Pool::default(),
+            pool: ConnectionPool::default(),
             health: Cell::default(),
             suspended: Cell::new(false),
-            gone: Cell::new(false),
+            removed: Cell::new(false),
             lapsed_until: Cell::new(None),
             cell: Cell::new(None),
         }
     }
 
     /// Whether it takes new work, by the list.
-    pub fn taking_work(&self) -> bool {
+    pub fn accepts_requests(&self) -> bool {
         let lapsed = self.lapsed_until.get();
-        !self.gone.get() && lapsed.is_none_or(|until| Instant::now() < until)
+        !self.removed.get() && lapsed.is_none_or(|until| Instant::now() < until)
     }
 
     /// Until when it takes work though its entry has left the list.
@@ -88,7 +88,7 @@
 
     /// It is listed so. False where that is another incarnation, of which nothing is
     /// known: it shares no more than the identifier.
-    pub fn continues_in(&self, listed: &ReplicaRecord) -> bool {
+    pub fn confirm_listing(&self, listed: &ReplicaRecord) -> bool {
         if !self.record.continues_in(listed) || !self.start.get().continues_in(listed.start) {
             return false;
         }
@@ -105,12 +105,12 @@
     }
 
     /// Counts a request as under way until the guard is dropped.
-    pub fn begin(self: &Rc<Self>, ranked: Option<Ranked>) -> InFlight {
+    pub fn start_request(self: &Rc<Self>, ranked: Option<Ranked>) -> InFlightGuard {
         self.load.begin(self.short_hash());
         if let Some(ranked) = ranked {
             self.load.ranks.begin(ranked);
         }
-        InFlight {
+        InFlightGuard {
             replica: self.clone(),
             ranked,
         }
@@ -118,15 +118,17 @@
 
     /// It is given this prompt to read; returns the tokens that it was believed
     /// not to hold.
-    pub fn reads(&self, prompt: &Prompt, capacity_tokens: u64) -> u32 {
-        let mut held_parts = self.held_parts.borrow_mut();
-        let missing = prompt.tokens().saturating_sub(held_parts.held(prompt));
-        held_parts.read(prompt, capacity_tokens);
+    pub fn record_prompt(&self, prompt: &Prompt, capacity_tokens: u64) -> u32 {
+        let mut prompt_cache = self.prompt_cache.borrow_mut();
+        let missing = prompt
+            .tokens()
+            .saturating_sub(prompt_cache.cached_tokens(prompt));
+        prompt_cache.record_prompt(prompt, capacity_tokens);
         missing
     }
 
     /// Requests under way there, as far as known.
-    pub fn under_way(&self) -> u32 {
+    pub fn requests_in_flight(&self) -> u32 {
         self.load.under_way(self.short_hash())
     }
 
@@ -136,13 +138,13 @@
     }
 
     /// Order among its service's replicas that is the same on all fronts.
-    pub fn rank(&self) -> u64 {
+    pub fn cell_order(&self) -> u64 {
         mix(self.hash)
     }
 
     /// Requests under way there as a program of this group sees them: where the
     /// group's own programs are served first its stores count them.
-    fn in_flight(&self, group: Option<GroupNumber>) -> u32 {
+    fn in_flight_for(&self, group: Option<GroupNumber>) -> u32 {
         let replica = self.short_hash();
         let counted = match (group, self.cell.get()) {
             (Some(group), Some(cell)) if group == cell => self.load.placed(group, replica),
@@ -150,42 +152,42 @@
         };
         match counted {
             Some(counted) => counted.max(self.load.own(replica)),
-            None => self.under_way(),
+            None => self.requests_in_flight(),
         }
     }
 
     /// Its deviation from the rates of its service's engines: by what all fronts see of
     /// it, or else this one alone.
-    pub fn slowness(&self) -> f64 {
-        let told = self.load.engines.times(self.short_hash());
-        told.unwrap_or_else(|| self.slowness.get().factor(Instant::now()))
+    pub fn slowdown(&self) -> f64 {
+        let reported = self.load.engines.times(self.short_hash());
+        reported.unwrap_or_else(|| self.slowdown.get().factor(Instant::now()))
     }
 
     /// Takes the times of a turn that it ran to the end.
-    pub fn note_turn(&self, timing: &TurnTiming) {
+    pub fn record_turn(&self, timing: &TurnTiming) {
         let now = Instant::now();
         let mut rates = self.rates.get();
-        let mut slowness = self.slowness.get();
+        let mut slowdown = self.slowdown.get();
         let current = rates.current();
-        if let Some(ratio) = timing.ratio(&current) {
+        if let Some(ratio) = timing.slowdown(&current) {
             self.load.engines.note(self.short_hash(), ratio);
         }
-        slowness.note(timing, &current, now);
-        rates.note(timing, slowness.factor(now), now);
-        self.slowness.set(slowness);
+        slowdown.record(timing, &current, now);
+        rates.record(timing, slowdown.factor(now), now);
+        self.slowdown.set(slowdown);
         self.rates.set(rates);
     }
 
     /// An answer took so many times as long as such answers do; others are told.
-    pub fn note_pace(&self, ratio: f64) {
+    pub fn record_latency(&self, ratio: f64) {
         self.load.note_pace(self.short_hash(), ratio);
     }
 
     /// Takes what a request showed of it, and tells other fronts of a failure.
-    pub fn note(&self, evidence: Evidence) {
+    pub fn record(&self, evidence: Evidence) {
         let now = Instant::now();
         let mut health = self.health.get();
-        health.note(evidence, now);
+        health.record(evidence, now);
         self.health.set(health);
         if matches!(evidence, Evidence::Lost | Evidence::Reset) {
             // A replica that went down took its kept connections with it: the
@@ -193,13 +195,13 @@
             self.pool.clear();
         }
         self.load
-            .suspect(self.short_hash(), health.cautious_for(now));
-        self.report(evidence, health.failure(now));
+            .suspect(self.short_hash(), health.time_above_caution(now));
+        self.log_transition(evidence, health.failure_probability(now));
     }
 
-    fn report(&self, evidence: Evidence, failure: f64) {
-        let suspended = failure > health::SUSPENSION;
-        let resumed = evidence == Evidence::Sound && failure <= health::CAUTION;
+    fn log_transition(&self, evidence: Evidence, failure: f64) {
+        let suspended = failure > health::SUSPENSION_THRESHOLD;
+        let resumed = evidence == Evidence::Sound && failure <= health::CAUTION_THRESHOLD;
         let event = match (self.suspended.get(), suspended, resumed) {
             (false, true, _) => Event::ReplicaSuspended,
             (true, _, true) => Event::ReplicaResumed,
@@ -215,30 +217,30 @@
     }
 
     /// The longest rest after which a connection still takes a request.
-    pub fn rest_limit(&self, repeatable: bool) -> Option<Duration> {
+    pub fn idle_limit(&self, repeatable: bool) -> Option<Duration> {
         match repeatable {
             true => None,
-            false => self.rest_limit.get().limit(Instant::now()),
+            false => self.idle_limit.get().max_idle(Instant::now()),
         }
     }
 
     /// A connection that had rested so long ended at once under a request. A
     /// new one shows whether the replica is down or only forgot the other.
-    pub async fn look_after_reset(&self, rested: Duration) {
+    pub async fn probe_after_reset(&self, idle_time: Duration) {
         let Ok(connection) = Connection::open(&self.record.address).await else {
-            self.note(Evidence::Unreachable);
+            self.record(Evidence::Unreachable);
             return;
         };
-        let mut limit = self.rest_limit.get();
-        limit.forgot(rested, Instant::now());
-        self.rest_limit.set(limit);
-        self.note(Evidence::Sound);
-        self.pool.give(connection);
+        let mut limit = self.idle_limit.get();
+        limit.record_reset(idle_time, Instant::now());
+        self.idle_limit.set(limit);
+        self.record(Evidence::Sound);
+        self.pool.release(connection);
     }
 
     /// It answered as another incarnation: its record is out of date.
-    pub fn mark_gone(&self) {
-        self.gone.set(true);
+    pub fn mark_removed(&self) {
+        self.removed.set(true);
         self.pool.clear();
     }
 
@@ -248,35 +250,35 @@
     }
 
     /// Likelihood that it fails the next request, with what others report.
-    pub fn failure(&self, now: Instant) -> f64 {
+    pub fn failure_probability(&self, now: Instant) -> f64 {
         let reports = self.load.suspected_by(self.short_hash());
-        health::combined(self.health.get().failure(now), reports)
+        health::combine_estimates(self.health.get().failure_probability(now), reports)
     }
 
     /// What a choice needs to know of it.
-    pub fn candidate(&self, wanted: &Wanted<'_>) -> Candidate {
+    pub fn candidate(&self, query: &ReplicaQuery<'_>) -> Candidate {
         Candidate {
             hash: self.hash,
-            local: self.record.zone.as_str() == wanted.zone,
-            in_flight: self.in_flight(wanted.group),
-            in_cell: wanted.group.is_some() && self.cell.get() == wanted.group,
-            slowness: self.slowness() * self.load.slowness(self.short_hash()),
-            failure: self.failure(Instant::now()),
-            held_tokens: self.held_parts.borrow().held(wanted.prompt),
+            same_zone: self.record.zone.as_str() == query.zone,
+            in_flight: self.in_flight_for(query.group),
+            in_cell: query.group.is_some() && self.cell.get() == query.group,
+            slowdown: self.slowdown() * self.load.slowness(self.short_hash()),
+            failure_probability: self.failure_probability(Instant::now()),
+            cached_tokens: self.prompt_cache.borrow().cached_tokens(query.prompt),
             slots: self.record.slots,
-            connected: self.pool.has_free(),
-            usable: self.taking_work() && !wanted.excluded.contains(&self.id),
+            has_idle_connection: self.pool.has_idle(),
+            eligible: self.accepts_requests() && !query.excluded.contains(&self.id),
         }
     }
 }
 
 /// A request under way at a replica.
-pub struct InFlight {
+pub struct InFlightGuard {
     replica: Rc<Replica>,
     ranked: Option<Ranked>,
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let load = &self.replica.load;
         load.end(self.replica.short_hash());
--- a/crates/stageyoke-front/src/list_report.rs
+++ b/crates/stageyoke-front/src/replica_log.rs
@@ -7,36 +7,36 @@
 use stageyoke_observe as observe;
 use stageyoke_types::{Event, Text};
 
-use crate::line_pause::LinePause;
+use crate::log_limiter::LogRateLimiter;
 
 /// Replicas that one line names; the others are counted.
-const NAMED: usize = 4;
+const MAX_NAMED_REPLICAS: usize = 4;
 
 /// Tells when requests are placed by a list that may miss changes which must be in
 /// force.
 #[derive(Debug)]
-pub(crate) struct ListAge {
+pub(crate) struct StaleListMonitor {
     bound: Duration,
-    lines: LinePause,
+    log_limiter: LogRateLimiter,
 }
 
-impl ListAge {
+impl StaleListMonitor {
     /// Changes must be in force within `bound`.
-    pub(crate) fn within(bound: Duration) -> Self {
+    pub(crate) fn new(bound: Duration) -> Self {
         Self {
             bound,
-            lines: LinePause::default(),
+            log_limiter: LogRateLimiter::default(),
         }
     }
 
     /// A request goes by a list of this age; the longest stands for no list at all,
     /// where nothing is placed.
-    pub(crate) fn note(&self, age: Duration, unreachable: bool) {
+    pub(crate) fn check(&self, age: Duration, unreachable: bool) {
         if age <= self.bound || age == Duration::MAX {
             return;
         }
         observe::metrics().old_list_requests.inc();
-        if self.lines.take() {
+        if self.log_limiter.try_acquire() {
             let reason = match unreachable {
                 true => "nobody tells a younger one",
                 false => "no answer in time",
@@ -48,37 +48,41 @@
 }
 
 /// Tells which replicas one reading of the list took up and dropped.
-pub(crate) fn replicas_changed(added: &[Text], dropped: &[Text], now: usize) {
+pub(crate) fn log_replica_changes(added: &[Text], dropped: &[Text], now: usize) {
     if added.is_empty() && dropped.is_empty() {
         return;
     }
     let detail = format!(
         "added={} dropped={} now={now}",
-        named(added),
-        named(dropped)
+        format_names(added),
+        format_names(dropped)
     );
     observe::event(Event::ReplicasChanged, &detail);
 }
 
 /// Tells that a replica is listed as another incarnation.
-pub(crate) fn restarted(id: &Text, before: &ReplicaRecord, after: &ReplicaRecord) {
+pub(crate) fn log_replica_restart(id: &Text, before: &ReplicaRecord, after: &ReplicaRecord) {
     let detail = format!(
         "replica={id} before=[{}] after=[{}]",
-        incarnation(before),
-        incarnation(after)
+        describe_incarnation(before),
+        describe_incarnation(after)
     );
     observe::event(Event::ReplicaRestarted, &detail);
 }
 
-fn incarnation(record: &ReplicaRecord) -> String {
+fn describe_incarnation(record: &ReplicaRecord) -> String {
     let ReplicaStart { born, orders } = record.start;
     let number = |number: Option<u64>| number.map_or_else(|| "none".to_owned(), |n| n.to_string());
     let (born, orders) = (number(born), number(orders));
     format!("address={} born={born} orders={orders}", record.address)
 }
 
-fn named(replicas: &[Text]) -> String {
-    let names: Vec<&str> = replicas.iter().take(NAMED).map(Text::as_str).collect();
+fn format_names(replicas: &[Text]) -> String {
+    let names: Vec<&str> = replicas
+        .iter()
+        .take(MAX_NAMED_REPLICAS)
+        .map(Text::as_str)
+        .collect();
     let others = replicas.len() - names.len();
     match others {
         0 => format!("[{}]", names.join(",")),
--- a/crates/stageyoke-front/src/fleet.rs
+++ b/crates/stageyoke-front/src/replica_registry.rs
@@ -12,42 +12,42 @@
 
 use crate::engine_rates::{CurrentRates, EngineRates};
 use crate::health;
-use crate::list_report;
+use crate::idle_limit::IdleLimit;
 use crate::placement::Candidate;
-use crate::prompt::Prompt;
-use crate::replica::{Replica, Shared};
-use crate::rest::RestLimit;
+use crate::prompt_cache::Prompt;
+use crate::replica::{Replica, SharedState};
+use crate::replica_log;
 
 /// A service's replicas have lapsed only if more than one in this many are missing
 /// together: where most are left, doing without the others for the two seconds in
 /// which they may come back costs less than offering work to one that has ended.
-const LAPSE_SHARE: usize = 4;
+const LAPSE_DIVISOR: usize = 4;
 
 /// Replicas that a store group's programs have at least for themselves, where a
 /// service's replicas are divided among the groups: with fewer a burst of one
 /// group's programs fills them while others' are free.
-const LEAST_CELL: usize = 6;
+const MIN_CELL_REPLICAS: usize = 6;
 
 /// Services whose rates are remembered though they have no replica now: names
 /// change with each configuration, and a process lives long.
-const MOST_RATES: usize = 64;
+const MAX_SERVICE_RATES: usize = 64;
 
 /// Replicas by service.
-pub struct Fleet {
+pub struct ReplicaRegistry {
     load: Rc<LoadBoard>,
-    rest_limit: Rc<Cell<RestLimit>>,
+    idle_limit: Rc<Cell<IdleLimit>>,
     groups: Cell<usize>,
     replicas: RefCell<HashMap<Text, Rc<Replica>>>,
     services: RefCell<HashMap<Text, Vec<Rc<Replica>>>>,
     rates: RefCell<HashMap<Text, Rc<Cell<EngineRates>>>>,
 }
 
-impl Fleet {
+impl ReplicaRegistry {
     /// No replicas yet; what is under way is counted on this board.
     pub fn new(load: Rc<LoadBoard>) -> Self {
         Self {
             load,
-            rest_limit: Rc::default(),
+            idle_limit: Rc::default(),
             groups: Cell::new(0),
             replicas: RefCell::default(),
             services: RefCell::default(),
@@ -58,16 +58,16 @@
     /// Follows the replica list. Replicas that it misses get nothing more, but where
     /// their entries may have run out as the key-value service was away: then they are
     /// used until `back_until`, by which they are listed again or have ended.
-    pub fn follow(&self, records: &BTreeMap<Text, ReplicaRecord>, back_until: Option<Instant>) {
-        let dropped = self.drop_missing(records, back_until);
-        let added = self.take_up(records);
+    pub fn apply_list(&self, records: &BTreeMap<Text, ReplicaRecord>, back_until: Option<Instant>) {
+        let dropped = self.remove_missing(records, back_until);
+        let added = self.add_new(records);
         let now = self.replicas.borrow().len();
-        list_report::replicas_changed(&added, &dropped, now);
-        self.sort_by_service();
+        replica_log::log_replica_changes(&added, &dropped, now);
+        self.group_by_service();
     }
 
     /// Drops replicas that are to get nothing more.
-    fn drop_missing(
+    fn remove_missing(
         &self,
         records: &BTreeMap<Text, ReplicaRecord>,
         back_until: Option<Instant>,
@@ -75,16 +75,16 @@
         let mut replicas = self.replicas.borrow_mut();
         let back_until = back_until.filter(|until| *until > Instant::now());
         if let Some(until) = back_until {
-            lapse_together(&replicas, records, until);
+            mark_lapsed(&replicas, records, until);
         }
         let mut dropped = Vec::new();
         replicas.retain(|id, replica| {
             let stays = match records.get(id) {
-                Some(record) => continues(replica, record) && ready(record),
-                None => replica.lapsed_until().is_some() && replica.taking_work(),
+                Some(record) => is_same_incarnation(replica, record) && ready(record),
+                None => replica.lapsed_until().is_some() && replica.accepts_requests(),
             };
             if !stays {
-                replica.mark_gone();
+                replica.mark_removed();
                 dropped.push(id.clone());
             }
             stays
@@ -93,7 +93,7 @@
     }
 
     /// Takes up replicas that are new.
-    fn take_up(&self, records: &BTreeMap<Text, ReplicaRecord>) -> Vec<Text> {
+    fn add_new(&self, records: &BTreeMap<Text, ReplicaRecord>) -> Vec<Text> {
         let mut added = Vec::new();
         let mut replicas = self.replicas.borrow_mut();
         for (id, record) in records.iter().filter(|(_, record)| ready(record)) {
@@ -106,17 +106,17 @@
         added
     }
 
-    fn sort_by_service(&self) {
+    fn group_by_service(&self) {
         let mut services: HashMap<Text, Vec<Rc<Replica>>> = HashMap::new();
         for replica in self.replicas.borrow().values() {
             let list = services.entry(replica.record.service.clone()).or_default();
             list.push(replica.clone());
         }
         for replicas in services.values_mut() {
-            self.divide(replicas);
+            self.assign_cells(replicas);
         }
         let mut rates = self.rates.borrow_mut();
-        if rates.len() > MOST_RATES {
+        if rates.len() > MAX_SERVICE_RATES {
             rates.retain(|service, _| services.contains_key(service));
         }
         drop(rates);
@@ -124,7 +124,7 @@
     }
 
     /// Whether replicas are kept whose lapse is over: the list is to be followed again.
-    pub fn has_lapses_over(&self) -> bool {
+    pub fn has_expired_lapses(&self) -> bool {
         let now = Instant::now();
         let replicas = self.replicas.borrow();
         let mut lapsed = replicas
@@ -135,11 +135,11 @@
 
     /// Divides a service's replicas among the store groups, by an order that all
     /// fronts share: one that comes or goes moves few others.
-    fn divide(&self, replicas: &mut [Rc<Replica>]) {
+    fn assign_cells(&self, replicas: &mut [Rc<Replica>]) {
         let groups = self.groups.get();
         let count = replicas.len();
-        replicas.sort_by_key(|replica| replica.rank());
-        let divided = groups > 0 && count >= groups * LEAST_CELL;
+        replicas.sort_by_key(|replica| replica.cell_order());
+        let divided = groups > 0 && count >= groups * MIN_CELL_REPLICAS;
         for (position, replica) in replicas.iter().enumerate() {
             let number = u32::try_from(position * groups / count).unwrap_or_default();
             replica.set_cell(divided.then_some(GroupNumber(number)));
@@ -147,15 +147,15 @@
     }
 
     /// So many store groups there are.
-    pub fn set_groups(&self, groups: usize) {
+    pub fn set_store_groups(&self, groups: usize) {
         self.groups.set(groups);
     }
 
-    fn shared(&self, service: &Text) -> Shared {
+    fn shared(&self, service: &Text) -> SharedState {
         let mut rates = self.rates.borrow_mut();
-        Shared {
+        SharedState {
             load: self.load.clone(),
-            rest_limit: self.rest_limit.clone(),
+            idle_limit: self.idle_limit.clone(),
             rates: rates.entry(service.clone()).or_default().clone(),
         }
     }
@@ -173,37 +173,38 @@
     }
 
     /// Requests that a service's replicas work on at once.
-    pub fn places(&self, service: &str) -> u32 {
+    pub fn total_slots(&self, service: &str) -> u32 {
         let services = self.services.borrow();
         let replicas = services.get(service).into_iter().flatten();
-        let taking_work = replicas.filter(|replica| replica.taking_work());
-        taking_work.map(|replica| replica.record.slots).sum()
+        let accepts_requests = replicas.filter(|replica| replica.accepts_requests());
+        accepts_requests.map(|replica| replica.record.slots).sum()
     }
 
     /// Chooses a replica of a service with `choose` for a request that may run
     /// more than once or not. Failing replicas only where there is no other.
     pub fn choose(
         &self,
-        wanted: &Wanted<'_>,
+        query: &ReplicaQuery<'_>,
         choose: impl Fn(&[Candidate]) -> Option<usize>,
     ) -> Option<Rc<Replica>> {
         let services = self.services.borrow();
-        let replicas = services.get(wanted.service)?;
+        let replicas = services.get(query.service)?;
         let mut candidates: Vec<Candidate> = replicas
             .iter()
-            .map(|replica| replica.candidate(wanted))
+            .map(|replica| replica.candidate(query))
             .collect();
         let limits = [
-            health::accepted_failure(wanted.repeatable),
-            health::SUSPENSION,
+            health::accepted_failure(query.repeatable),
+            health::SUSPENSION_THRESHOLD,
         ];
         let limit = limits.into_iter().find(|limit| {
             let mut candidates = candidates.iter();
-            candidates.any(|candidate| candidate.usable && candidate.failure <= *limit)
+            candidates
+                .any(|candidate| candidate.eligible && candidate.failure_probability <= *limit)
         });
         if let Some(limit) = limit {
             for candidate in &mut candidates {
-                candidate.usable &= candidate.failure <= limit;
+                candidate.eligible &= candidate.failure_probability <= limit;
             }
         }
         choose(&candidates).map(|index| replicas[index].clone())
@@ -211,12 +212,12 @@
 }
 
 /// Whether a replica is listed as the incarnation that it is here; says if not.
-fn continues(replica: &Replica, listed: &ReplicaRecord) -> bool {
-    let continues = replica.continues_in(listed);
-    if !continues {
-        list_report::restarted(&replica.id, &replica.record, listed);
+fn is_same_incarnation(replica: &Replica, listed: &ReplicaRecord) -> bool {
+    let is_same_incarnation = replica.confirm_listing(listed);
+    if !is_same_incarnation {
+        replica_log::log_replica_restart(&replica.id, &replica.record, listed);
     }
-    continues
+    is_same_incarnation
 }
 
 fn ready(record: &ReplicaRecord) -> bool {
@@ -225,15 +226,15 @@
 
 /// Lets missing replicas of services of which many are missing at once take work until
 /// then.
-fn lapse_together(
+fn mark_lapsed(
     replicas: &HashMap<Text, Rc<Replica>>,
     records: &BTreeMap<Text, ReplicaRecord>,
     until: Instant,
 ) {
     let lapsed = lapsed_services(replicas, records);
-    for (service, shares) in &lapsed {
+    for (service, counts) in &lapsed {
         let used_for = until.saturating_duration_since(Instant::now()).as_millis();
-        let Shares { missing, all } = shares;
+        let ServiceReplicas { missing, all } = counts;
         let detail = format!("service={service} left={missing} of={all} used_for={used_for}");
         observe::event(Event::ReplicasLapsed, &detail);
     }
@@ -246,7 +247,7 @@
 
 /// Replicas of one service.
 #[derive(Default)]
-struct Shares {
+struct ServiceReplicas {
     missing: usize,
     all: usize,
 }
@@ -255,22 +256,22 @@
 fn lapsed_services(
     replicas: &HashMap<Text, Rc<Replica>>,
     records: &BTreeMap<Text, ReplicaRecord>,
-) -> HashMap<Text, Shares> {
-    let mut services: HashMap<Text, Shares> = HashMap::new();
+) -> HashMap<Text, ServiceReplicas> {
+    let mut services: HashMap<Text, ServiceReplicas> = HashMap::new();
     let listed = replicas.iter();
     let listed = listed.filter(|(_, replica)| replica.lapsed_until().is_none());
     for (id, replica) in listed {
-        let shares = services.entry(replica.record.service.clone()).or_default();
-        shares.missing += usize::from(!records.contains_key(id));
-        shares.all += 1;
+        let counts = services.entry(replica.record.service.clone()).or_default();
+        counts.missing += usize::from(!records.contains_key(id));
+        counts.all += 1;
     }
-    services.retain(|_, shares| shares.missing * LAPSE_SHARE > shares.all);
+    services.retain(|_, counts| counts.missing * LAPSE_DIVISOR > counts.all);
     services
 }
 
 /// What a request asks of a replica.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted<'a> {
+pub struct ReplicaQuery<'a> {
     /// Service.
     pub service: &'a str,
     /// Zone of the front.
--- a/crates/stageyoke-front/src/request.rs
+++ b/crates/stageyoke-front/src/request.rs
@@ -8,29 +8,29 @@
 use stageyoke_types::Text;
 use tokio::time::Instant;
 
-use crate::names::Names;
-use crate::prompt::Prompt;
+use crate::prompt_cache::Prompt;
+use crate::protocol_names::ProtocolNames;
 
 /// Time for requests that name none.
-const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// When a program should be over.
 #[derive(Clone, Copy, Debug)]
-pub struct Finish {
+pub struct ProgramDeadline {
     arrived: Instant,
     left: Duration,
 }
 
-impl Finish {
+impl ProgramDeadline {
     /// Time that is left; none once the program is late.
-    pub fn left(&self) -> Duration {
+    pub fn remaining(&self) -> Duration {
         self.left.saturating_sub(self.arrived.elapsed())
     }
 }
 
 /// A request's own figures.
 #[derive(Clone, Debug)]
-pub struct Figures {
+pub struct RequestParameters {
     /// Identifier of this try.
     pub request: Text,
     /// When the caller stops waiting.
@@ -38,30 +38,31 @@
     /// Program; empty if none.
     pub program: Text,
     /// When the program should be over; in the past once it is late.
-    pub finish: Option<Finish>,
+    pub program_deadline: Option<ProgramDeadline>,
     /// Tokens of the whole program.
     pub budget: Option<u64>,
     /// Most tokens of this request.
-    pub most_tokens: u32,
+    pub max_tokens: u32,
     /// Parts of its prompt.
     pub prompt: Prompt,
     /// Turn that it goes on from.
     pub previous: Option<Text>,
 }
 
-impl Figures {
+impl RequestParameters {
     /// Reads the figures; a request without an identifier has none.
-    pub fn read(headers: &HeaderMap, names: &Names, arrived: Instant) -> Option<Self> {
+    pub fn read(headers: &HeaderMap, names: &ProtocolNames, arrived: Instant) -> Option<Self> {
         let request = text(headers, &names.request_id)?;
         let milliseconds = |name| number(headers, name).map(Duration::from_millis);
-        let deadline = milliseconds(&names.deadline).unwrap_or(DEFAULT_DEADLINE);
+        let deadline = milliseconds(&names.deadline).unwrap_or(DEFAULT_TIMEOUT);
         Some(Self {
             request,
             deadline: arrived + deadline,
             program: text(headers, &names.program).unwrap_or_default(),
-            finish: milliseconds(&names.finish).map(|left| Finish { arrived, left }),
+            program_deadline: milliseconds(&names.program_deadline)
+                .map(|left| ProgramDeadline { arrived, left }),
             budget: number(headers, &names.budget),
-            most_tokens: most_tokens(headers, names).unwrap_or_default(),
+            max_tokens: max_tokens(headers, names).unwrap_or_default(),
             prompt: text(headers, &names.prompt_parts)
                 .map(|parts| Prompt::parse(&parts))
                 .unwrap_or_default(),
@@ -74,7 +75,7 @@
 /// own: no tenant goes on from another's turn, or spends another's budget, by
 /// naming it.
 #[derive(Clone, Debug)]
-pub struct KeptIdentifiers {
+pub struct ScopedIdentifiers {
     /// Program; empty if none.
     pub program: Text,
     /// The request's own turn.
@@ -83,9 +84,9 @@
     pub previous: Option<Text>,
 }
 
-impl KeptIdentifiers {
+impl ScopedIdentifiers {
     /// The identifiers of a request of this tenant.
-    pub fn of(figures: &Figures, tenant: Option<&Tenant>) -> Self {
+    pub fn of(parameters: &RequestParameters, tenant: Option<&Tenant>) -> Self {
         let own = |identifier: &Text| match tenant {
             // Identifiers come from headers, which hold no line feed.
             Some(tenant) if !identifier.is_empty() => {
@@ -94,9 +95,9 @@
             _ => identifier.clone(),
         };
         Self {
-            program: own(&figures.program),
-            turn: own(&figures.request),
-            previous: figures.previous.as_ref().map(own),
+            program: own(&parameters.program),
+            turn: own(&parameters.request),
+            previous: parameters.previous.as_ref().map(own),
         }
     }
 }
@@ -110,7 +111,7 @@
     headers.get(name)?.to_str().ok()?.trim().parse().ok()
 }
 
-fn most_tokens(headers: &HeaderMap, names: &Names) -> Option<u32> {
+fn max_tokens(headers: &HeaderMap, names: &ProtocolNames) -> Option<u32> {
     let counts = headers.get(&names.token_counts)?.to_str().ok()?;
     counts.split(',').nth(1)?.trim().parse().ok()
 }
--- a/crates/stageyoke-front/src/body.rs
+++ b/crates/stageyoke-front/src/response_body.rs
@@ -8,79 +8,79 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::sync::mpsc;
 
-use crate::memory::Held;
+use crate::memory_budget::MemoryGuard;
 
 /// An answer that ends before it is complete; the connection is cut so that
 /// it cannot look complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CutShort;
+pub struct TruncatedResponse;
 
-impl fmt::Display for CutShort {
+impl fmt::Display for TruncatedResponse {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("the answer was cut short")
     }
 }
 
-impl std::error::Error for CutShort {}
+impl std::error::Error for TruncatedResponse {}
 
 /// A piece of a relayed stream.
-pub type Piece = Result<Bytes, CutShort>;
+pub type Chunk = Result<Bytes, TruncatedResponse>;
 
 /// The body of an answer.
-pub enum FrontBody {
+pub enum ResponseBody {
     /// All at once, with what it holds of the front's memory until it is written.
-    Whole(Option<Bytes>, Option<Held>),
+    Full(Option<Bytes>, Option<MemoryGuard>),
     /// As pieces come; the sender's end without an error completes it.
-    Pieces(mpsc::Receiver<Piece>),
+    Stream(mpsc::Receiver<Chunk>),
 }
 
-impl FrontBody {
+impl ResponseBody {
     /// A body with this content.
-    pub fn whole(content: impl Into<Bytes>) -> Self {
-        Self::Whole(Some(content.into()), None)
+    pub fn full(content: impl Into<Bytes>) -> Self {
+        Self::Full(Some(content.into()), None)
     }
 
     /// The same body, holding memory until it is dropped.
-    pub fn holding(self, held: Held) -> Self {
+    pub fn with_memory(self, memory_guard: MemoryGuard) -> Self {
         match self {
-            Self::Whole(content, _) => Self::Whole(content, Some(held)),
-            pieces @ Self::Pieces(_) => pieces,
+            Self::Full(content, _) => Self::Full(content, Some(memory_guard)),
+            chunks @ Self::Stream(_) => chunks,
         }
     }
 }
 
-impl Body for FrontBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = CutShort;
+    type Error = TruncatedResponse;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, CutShort>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedResponse>>> {
         match &mut *self {
-            Self::Whole(content, _) => {
+            Self::Full(content, _) => {
                 let rest = content.take().filter(|content| !content.is_empty());
                 Poll::Ready(rest.map(|content| Ok(Frame::data(content))))
             }
-            Self::Pieces(pieces) => pieces
+            Self::Stream(chunks) => chunks
                 .poll_recv(context)
-                .map(|piece| piece.map(|piece| piece.map(Frame::data))),
+                .map(|chunk| chunk.map(|chunk| chunk.map(Frame::data))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(content, _) => content.as_ref().is_none_or(Bytes::is_empty),
-            Self::Pieces(_) => false,
+            Self::Full(content, _) => content.as_ref().is_none_or(Bytes::is_empty),
+            Self::Stream(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(content, _) => {
+            Self::Full(content, _) => {
                 SizeHint::with_exact(content.as_ref().map_or(0, |content| content.len() as u64))
             }
-            Self::Pieces(_) => SizeHint::default(),
+            Self::Stream(_) => SizeHint::default(),
         }
     }
 }
--- /dev/null
+++ b/crates/stageyoke-front/src/routing.rs
@@ -0,0 +1,83 @@
+//! Lets requests in: their route, and who makes them, by the configuration in force
+//! or a newer one.
+
+use std::rc::Rc;
+
+use hyper::http::request::Parts;
+use stageyoke_directory::{Interpreter, KeyValueService, Route, RouteTable};
+use stageyoke_types::ErrorKind;
+
+use crate::authentication::{AuthenticationError, Caller};
+use crate::failure::Failure;
+use crate::front::Front;
+use crate::handler::{LOOKUP_TIMEOUT, OUTAGE_RETRY_DELAY};
+use crate::request::host;
+
+/// What a configuration says of a request that it allows.
+pub(crate) struct MatchedRoute {
+    pub(crate) routes: Rc<RouteTable>,
+    pub(crate) route: Route,
+    pub(crate) caller: Caller,
+}
+
+/// Why a configuration doesn't allow a request.
+enum RoutingError {
+    NoRoute,
+    Unauthenticated(AuthenticationError),
+}
+
+fn match_route(routes: Rc<RouteTable>, head: &Parts) -> Result<MatchedRoute, RoutingError> {
+    let host = host(&head.headers).unwrap_or_default();
+    let route = routes
+        .find(host, head.uri.path())
+        .ok_or(RoutingError::NoRoute)?;
+    let caller =
+        Caller::of(&routes, route, &head.headers).map_err(RoutingError::Unauthenticated)?;
+    let route = route.clone();
+    Ok(MatchedRoute {
+        routes,
+        route,
+        caller,
+    })
+}
+
+impl<S: KeyValueService + 'static, I: Interpreter + 'static> Front<S, I> {
+    /// Finds the route of a request and who makes it. What the configuration in
+    /// force doesn't allow, a newer one may: that it doesn't is only known from a
+    /// read that began after the request arrived.
+    pub(crate) async fn route_request(&self, head: &Parts) -> Result<MatchedRoute, Failure> {
+        let unknown = Failure::retryable(
+            ErrorKind::Unavailable,
+            "no_configuration",
+            OUTAGE_RETRY_DELAY,
+        );
+        let routes = self.mirror.view().routes.clone();
+        if let Some(routes) = routes
+            && let Ok(matched) = match_route(routes, head)
+        {
+            return Ok(matched);
+        }
+        let changes = self.mirror.changes();
+        let confirmed = tokio::time::timeout(LOOKUP_TIMEOUT, self.mirror.confirm_routes()).await;
+        if self.mirror.changes() != changes {
+            // No event of the mirror tells of a configuration that is read here: metrics
+            // and the lines on tenants stayed behind until the next change.
+            self.apply_directory();
+        }
+        if !matches!(confirmed, Ok(Ok(()))) {
+            let cause = "route_not_confirmed";
+            return Err(Failure::retryable(
+                ErrorKind::Unavailable,
+                cause,
+                OUTAGE_RETRY_DELAY,
+            ));
+        }
+        let routes = self.mirror.view().routes.clone().ok_or(unknown)?;
+        match_route(routes, head).map_err(|rejection| match rejection {
+            RoutingError::NoRoute => Failure::permanent(ErrorKind::NotFound, "no_such_route"),
+            RoutingError::Unauthenticated(cause) => {
+                Failure::permanent(ErrorKind::Unauthorized, cause.name())
+            }
+        })
+    }
+}
--- a/crates/stageyoke-front/src/server.rs
+++ b/crates/stageyoke-front/src/server.rs
@@ -11,15 +11,15 @@
 use stageyoke_directory::{Interpreter, KeyValueService, Limits};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::body::FrontBody;
 use crate::front::Front;
+use crate::response_body::ResponseBody;
 
 /// Smallest read buffer that hyper accepts.
-const SMALLEST_BUFFER: usize = 8192;
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const MIN_BUFFER_BYTES: usize = 8192;
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Added to the idle time, so that a connection is never closed before the
 /// caller stops reusing it.
-const IDLE_MARGIN: Duration = Duration::from_secs(1);
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 
 /// Accepts callers until the front closes.
 pub async fn serve_callers<S: KeyValueService + 'static, I: Interpreter + 'static>(
@@ -29,13 +29,13 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = front.closing.begun() => return,
+            () = front.shutdown.triggered() => return,
         };
         match accepted {
             Ok((stream, _)) => {
                 tokio::task::spawn_local(serve_caller(front.clone(), stream));
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
@@ -64,7 +64,7 @@
     let mut connection = std::pin::pin!(builder.serve_connection(TokioIo::new(stream), service));
     tokio::select! {
         _ = connection.as_mut() => return,
-        () = front.closing.begun() => connection.as_mut().graceful_shutdown(),
+        () = front.shutdown.triggered() => connection.as_mut().graceful_shutdown(),
     }
     // A resting connection ends now, a busy one after its answer.
     let _ = connection.await;
@@ -72,8 +72,8 @@
 
 fn apply_limits(builder: &mut hyper::server::conn::http1::Builder, limits: &Limits) {
     // hyper's time for a head also runs while a kept connection rests.
-    builder.header_read_timeout(limits.idle_timeout + IDLE_MARGIN);
-    builder.max_buf_size(limits.header_bytes.max(SMALLEST_BUFFER));
+    builder.header_read_timeout(limits.idle_timeout + IDLE_TIMEOUT_MARGIN);
+    builder.max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES));
 }
 
 /// Answers the readiness question for ever.
@@ -86,7 +86,7 @@
             Ok((stream, _)) => {
                 tokio::task::spawn_local(answer_readiness(front.clone(), stream));
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
@@ -102,7 +102,7 @@
             (true, true) => StatusCode::OK,
             (true, false) => StatusCode::SERVICE_UNAVAILABLE,
         };
-        let mut response = Response::new(FrontBody::whole(""));
+        let mut response = Response::new(ResponseBody::full(""));
         *response.status_mut() = status;
         async move { Ok::<_, Infallible>(response) }
     });
--- a/crates/stageyoke-front/src/activity.rs
+++ b/crates/stageyoke-front/src/shutdown.rs
@@ -7,7 +7,7 @@
 
 /// Requests and streams under way.
 #[derive(Clone, Debug, Default)]
-pub struct Activity(Rc<Inner>);
+pub struct RequestTracker(Rc<Inner>);
 
 #[derive(Debug, Default)]
 struct Inner {
@@ -17,14 +17,14 @@
 
 /// One request or stream; ends when dropped.
 #[derive(Debug)]
-pub struct Active(Rc<Inner>);
+pub struct RequestGuard(Rc<Inner>);
 
-impl Activity {
+impl RequestTracker {
     /// Counts one more until the guard is dropped.
-    pub fn begin(&self) -> Active {
+    pub fn track(&self) -> RequestGuard {
         self.0.count.set(self.0.count.get() + 1);
         stageyoke_observe::metrics().under_way.inc();
-        Active(self.0.clone())
+        RequestGuard(self.0.clone())
     }
 
     /// How many are under way.
@@ -33,14 +33,14 @@
     }
 
     /// Waits until nothing is under way.
-    pub async fn idle(&self) {
+    pub async fn wait_until_idle(&self) {
         while self.count() > 0 {
             self.0.idle.notified().await;
         }
     }
 }
 
-impl Drop for Active {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         let left = self.0.count.get() - 1;
         stageyoke_observe::metrics().under_way.dec();
@@ -53,22 +53,22 @@
 
 /// A one-way switch: once begun, all that wait for it go on.
 #[derive(Debug, Default)]
-pub struct Closing {
-    begun: Cell<bool>,
+pub struct ShutdownSignal {
+    triggered: Cell<bool>,
     waiting: Notify,
 }
 
-impl Closing {
+impl ShutdownSignal {
     /// Turns the switch.
-    pub fn begin(&self) {
-        self.begun.set(true);
+    pub fn trigger(&self) {
+        self.triggered.set(true);
         self.waiting.notify_waiters();
     }
 
     /// Waits until the switch is turned.
-    pub async fn begun(&self) {
+    pub async fn triggered(&self) {
         let notified = self.waiting.notified();
-        if !self.begun.get() {
+        if !self.triggered.get() {
             notified.await;
         }
     }
--- /dev/null
+++ b/crates/stageyoke-front/src/stream_relay.rs
@@ -0,0 +1,230 @@
+//! Passes a stream on, event by event, and ends it only once what must be kept
+//! of it is kept.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::BodyExt;
+use hyper::body::Incoming;
+use tokio::sync::mpsc;
+use tokio::time::Instant;
+
+use crate::connection_pool::Connection;
+use crate::engine_rates::TurnTiming;
+use crate::event_stream::{EventSplitter, collect_data};
+use crate::health::Evidence;
+use crate::history::{History, Reservation, turn_record};
+use crate::memory_budget::MemoryGuard;
+use crate::replica::{InFlightGuard, Replica};
+use crate::request::ScopedIdentifiers;
+use crate::response_body::{Chunk, TruncatedResponse};
+use stageyoke_observe::{self as observe, RequestStory as Summary};
+
+/// Pieces that wait for a caller who reads slowly.
+pub const CHUNK_BUFFER: usize = 16;
+
+/// Outcome of a stream that the replica did not end.
+const TRUNCATED: &str = "replica_broke_off";
+
+/// What is kept of a stream.
+pub struct TurnStorage {
+    /// Where turns are kept.
+    pub history: Rc<History>,
+    /// The turn's own input, if its history is kept.
+    pub input: Option<Bytes>,
+    /// How long it is kept.
+    pub retention: Duration,
+    /// The turn's reservation, if its program has a budget.
+    pub reservation: Option<Reservation>,
+    /// Tokens in one event.
+    pub tokens_per_event: u32,
+}
+
+/// What carries a stream: closed when dropped, which stops the replica.
+pub struct UpstreamStream {
+    /// Connection to the replica.
+    pub connection: Connection,
+    /// The replica.
+    pub replica: Rc<Replica>,
+    /// Counts the request as under way.
+    pub guard: InFlightGuard,
+    /// When the request was sent there.
+    pub sent: Instant,
+    /// Tokens of the prompt that the replica was believed not to hold.
+    pub uncached_tokens: u32,
+}
+
+impl UpstreamStream {
+    /// Times of a turn that ended now.
+    fn timing(&self, first_event: &FirstEvent, generated_tokens: u32) -> TurnTiming {
+        let beside = |in_flight: u32| f64::from(in_flight.saturating_sub(1));
+        let at_end = self.replica.requests_in_flight();
+        TurnTiming {
+            time_to_first_event: first_event.at - self.sent,
+            uncached_tokens: self.uncached_tokens,
+            generation_time: first_event.at.elapsed(),
+            generated_tokens,
+            concurrent_requests: (beside(first_event.in_flight) + beside(at_end)) / 2.0,
+            queued: first_event.in_flight > self.replica.record.slots,
+        }
+    }
+}
+
+/// The moment of a stream's first event.
+struct FirstEvent {
+    at: Instant,
+    /// Requests under way at the replica, this one among them.
+    in_flight: u32,
+}
+
+/// A stream on its way to the caller.
+pub struct StreamRelay {
+    /// Identifiers under which the turn is kept.
+    pub identifiers: ScopedIdentifiers,
+    /// Most tokens of the turn.
+    pub max_tokens: u32,
+    /// The replica's answer; its body is relayed apart.
+    pub upstream: UpstreamStream,
+    /// What is kept.
+    pub storage: TurnStorage,
+    /// When the stream is cut.
+    pub deadline: Instant,
+    /// What is logged at the end.
+    pub summary: Summary,
+    /// When the request arrived.
+    pub arrived: Instant,
+    /// What the request holds of the front's memory, until the stream has ended.
+    pub _memory_guard: MemoryGuard,
+}
+
+enum StreamEnd {
+    Whole,
+    CallerLeft,
+    Cut(&'static str),
+}
+
+#[derive(Default)]
+struct ReceivedEvents {
+    output: Vec<u8>,
+    events: u32,
+    first: Option<FirstEvent>,
+}
+
+impl StreamRelay {
+    /// Relays until the end; `pieces` is the caller's side.
+    pub async fn run(mut self, mut body: Incoming, chunks: mpsc::Sender<Chunk>) {
+        let mut received = ReceivedEvents::default();
+        let end = match self.forward(&mut body, &chunks, &mut received).await {
+            StreamEnd::Whole => {
+                self.record_rates(&received);
+                self.store_turn(received).await
+            }
+            other => other,
+        };
+        self.finish(&end, &chunks).await;
+    }
+
+    /// Learns the engine's rates from a turn that ran to its end.
+    fn record_rates(&self, received: &ReceivedEvents) {
+        let Some(first) = &received.first else {
+            return;
+        };
+        let later_events = received.events.saturating_sub(1);
+        let generated = later_events.saturating_mul(self.storage.tokens_per_event);
+        let timing = self.upstream.timing(first, generated);
+        self.upstream.replica.record_turn(&timing);
+    }
+
+    async fn forward(
+        &mut self,
+        body: &mut Incoming,
+        chunks: &mpsc::Sender<Chunk>,
+        received: &mut ReceivedEvents,
+    ) -> StreamEnd {
+        let mut splitter = EventSplitter::default();
+        loop {
+            let frame = tokio::select! {
+                frame = body.frame() => frame,
+                () = chunks.closed() => return StreamEnd::CallerLeft,
+                () = tokio::time::sleep_until(self.deadline) => return StreamEnd::Cut("time_out"),
+            };
+            let whole = match frame {
+                None => {
+                    let rest = splitter.take_remainder();
+                    if !rest.is_empty() && chunks.send(Ok(rest)).await.is_err() {
+                        return StreamEnd::CallerLeft;
+                    }
+                    return StreamEnd::Whole;
+                }
+                Some(Err(_)) => return StreamEnd::Cut(TRUNCATED),
+                Some(Ok(frame)) => frame.data_ref().and_then(|data| splitter.push(data)),
+            };
+            if let Some(events) = whole {
+                received.first.get_or_insert_with(|| FirstEvent {
+                    at: Instant::now(),
+                    in_flight: self.upstream.replica.requests_in_flight(),
+                });
+                received.events += collect_data(&events, &mut received.output);
+                let sending = tokio::time::timeout_at(self.deadline, chunks.send(Ok(events)));
+                match sending.await {
+                    Ok(Ok(())) => {}
+                    Ok(Err(_)) => return StreamEnd::CallerLeft,
+                    Err(_) => return StreamEnd::Cut("time_out"),
+                }
+            }
+        }
+    }
+
+    /// Keeps what must be kept before the caller sees the end.
+    async fn store_turn(&mut self, received: ReceivedEvents) -> StreamEnd {
+        let generated = received
+            .events
+            .saturating_mul(self.storage.tokens_per_event);
+        let used = match self.max_tokens {
+            0 => generated,
+            most => generated.min(most),
+        };
+        let Some(input) = self.storage.input.take() else {
+            if let Some(reservation) = &mut self.storage.reservation {
+                reservation.settle(used);
+            }
+            return StreamEnd::Whole;
+        };
+        let retention = self.storage.retention;
+        let record = turn_record(&self.identifiers, input, received.output, used, retention);
+        let began = Instant::now();
+        let identifiers = self.storage.history.commit(record, self.deadline).await;
+        self.summary.keeping = began.elapsed().as_millis() as u64;
+        if let Some(reservation) = &mut self.storage.reservation {
+            reservation.mark_recorded();
+        }
+        match identifiers {
+            Ok(()) => StreamEnd::Whole,
+            Err(_) => StreamEnd::Cut("not_kept"),
+        }
+    }
+
+    async fn finish(self, end: &StreamEnd, chunks: &mpsc::Sender<Chunk>) {
+        let mut summary = self.summary;
+        summary.outcome = match end {
+            StreamEnd::Whole => "streamed",
+            StreamEnd::CallerLeft => "caller_left",
+            StreamEnd::Cut(reason) => reason,
+        };
+        if !matches!(end, StreamEnd::Whole) {
+            summary.status = 0;
+        }
+        observe::request_ended(&summary, self.arrived.elapsed());
+        match end {
+            StreamEnd::Whole => self.upstream.replica.pool.release(self.upstream.connection),
+            StreamEnd::CallerLeft => {}
+            StreamEnd::Cut(reason) => {
+                if *reason == TRUNCATED {
+                    self.upstream.replica.record(Evidence::Lost);
+                }
+                let _ = chunks.send(Err(TruncatedResponse)).await;
+            }
+        }
+    }
+}
--- a/crates/stageyoke-front/src/tenant_report.rs
+++ b/crates/stageyoke-front/src/tenant_warnings.rs
@@ -6,21 +6,21 @@
 use stageyoke_types::{Event, Text};
 
 /// Tenants that one list of a line names.
-const MOST_NAMED: usize = 8;
+const MAX_NAMED_TENANTS: usize = 8;
 
 /// What was told last of the tenants in force.
 #[derive(Debug, Default)]
-pub struct TenantReport {
+pub struct TenantWarnings {
     contested: RefCell<String>,
     unusual: RefCell<String>,
 }
 
-impl TenantReport {
+impl TenantWarnings {
     /// Events that this configuration gives rise to, each with its detail: none where
     /// it says what the former one said. A key that two tenants name opens the door to
     /// the first of them only; tenants without keys can't call; tenants without a
     /// limit, or with one of nought, are not limited.
-    pub fn follow(&self, routes: &RouteTable) -> Vec<(Event, String)> {
+    pub fn update(&self, routes: &RouteTable) -> Vec<(Event, String)> {
         let Some(tenants) = &routes.tenants else {
             self.contested.take();
             self.unusual.take();
@@ -28,14 +28,18 @@
         };
         let contested = match tenants.contested() {
             [] => String::new(),
-            contested => named("", contested),
+            contested => format_names("", contested),
         };
         let lines = [
             (Event::KeyContested, &self.contested, contested),
-            (Event::TenantsUnusual, &self.unusual, unusual(tenants)),
+            (
+                Event::TenantsUnusual,
+                &self.unusual,
+                describe_unusual(tenants),
+            ),
         ];
-        let changed = lines.into_iter().filter(|(_, told, found)| {
-            let former = told.replace(found.clone());
+        let changed = lines.into_iter().filter(|(_, reported, found)| {
+            let former = reported.replace(found.clone());
             !found.is_empty() && former != *found
         });
         changed
@@ -45,19 +49,19 @@
 }
 
 /// Tenants that can't call or are not limited; empty if there are none.
-fn unusual(tenants: &Tenants) -> String {
+fn describe_unusual(tenants: &Tenants) -> String {
     let keyless = tenants.keyless();
     let unlimited: Vec<Text> = tenants.unlimited().cloned().collect();
     if keyless.is_empty() && unlimited.is_empty() {
         return String::new();
     }
-    let keyless = named("without_keys_", keyless);
-    let unlimited = named("without_limit_", &unlimited);
+    let keyless = format_names("without_keys_", keyless);
+    let unlimited = format_names("without_limit_", &unlimited);
     format!("{keyless} {unlimited}")
 }
 
-fn named(prefix: &str, tenants: &[Text]) -> String {
-    let shown = tenants.iter().take(MOST_NAMED).map(Text::as_str);
+fn format_names(prefix: &str, tenants: &[Text]) -> String {
+    let shown = tenants.iter().take(MAX_NAMED_TENANTS).map(Text::as_str);
     let shown: Vec<&str> = shown.collect();
     let count = tenants.len();
     format!("{prefix}count={count} {prefix}tenants={}", shown.join(","))
--- a/crates/stageyoke-front/src/shares.rs
+++ b/crates/stageyoke-front/src/traffic_split.rs
@@ -16,26 +16,26 @@
 
 /// Places of a cycle that a front may start at; longer cycles start within
 /// their first part.
-const LONGEST_START: u64 = 1000;
+const MAX_START_OFFSET: u64 = 1000;
 
 #[derive(Debug, Default)]
-struct Turns {
+struct TargetCycle {
     targets: Vec<Target>,
     credit: Vec<i64>,
 }
 
-impl Turns {
+impl TargetCycle {
     /// The cycle over these targets, from the place that `seed` draws.
-    fn starting(targets: &[Target], seed: u64) -> Self {
-        let mut turns = Self {
+    fn with_offset(targets: &[Target], seed: u64) -> Self {
+        let mut cycle = Self {
             targets: targets.to_vec(),
             credit: vec![0; targets.len()],
         };
-        let cycle = turns.total().unsigned_abs().clamp(1, LONGEST_START);
-        for _ in 0..mix(seed) % cycle {
-            turns.next();
+        let length = cycle.total().unsigned_abs().clamp(1, MAX_START_OFFSET);
+        for _ in 0..mix(seed) % length {
+            cycle.next();
         }
-        turns
+        cycle
     }
 
     fn total(&self) -> i64 {
@@ -56,12 +56,12 @@
 
 /// Whose turn it is, by route.
 #[derive(Debug, Default)]
-pub struct Shares {
+pub struct TrafficSplit {
     seed: u64,
-    routes: RefCell<HashMap<Text, Turns>>,
+    routes: RefCell<HashMap<Text, TargetCycle>>,
 }
 
-impl Shares {
+impl TrafficSplit {
     /// Cycles that start at places drawn by `seed`, which differs by front.
     pub fn new(seed: u64) -> Self {
         Self {
@@ -71,24 +71,24 @@
     }
 
     /// Forgets routes that are no longer there.
-    pub fn follow(&self, routes: &RouteTable) {
+    pub fn retain_routes(&self, routes: &RouteTable) {
         let names: HashSet<&Text> = routes.routes.iter().map(|route| &route.name).collect();
-        let mut turns = self.routes.borrow_mut();
-        turns.retain(|name, _| names.contains(name));
+        let mut cycles = self.routes.borrow_mut();
+        cycles.retain(|name, _| names.contains(name));
     }
 
     /// The service that gets the route's next request.
-    pub fn pick(&self, route: &Route) -> Option<Text> {
+    pub fn next_service(&self, route: &Route) -> Option<Text> {
         if let [only] = route.targets.as_slice() {
             return Some(only.service.clone());
         }
         let mut routes = self.routes.borrow_mut();
-        let turns = routes.entry(route.name.clone()).or_default();
-        if turns.targets != route.targets {
+        let cycle = routes.entry(route.name.clone()).or_default();
+        if cycle.targets != route.targets {
             let seed = self.seed ^ hash_text(&route.name);
-            *turns = Turns::starting(&route.targets, seed);
+            *cycle = TargetCycle::with_offset(&route.targets, seed);
         }
-        let next = turns.next()?;
-        Some(turns.targets[next].service.clone())
+        let next = cycle.next()?;
+        Some(cycle.targets[next].service.clone())
     }
 }
--- a/crates/stageyoke-front/tests/access_test.rs
+++ b/crates/stageyoke-front/tests/access_test.rs
@@ -8,10 +8,10 @@
 use hyper::header::HeaderValue;
 use rstest::rstest;
 use stageyoke_directory::{EngineShape, Route, RouteKind, ServiceSpec, Tenant};
-use stageyoke_front::access::{Access, KeyTrust};
-use stageyoke_front::answer::Failure;
 use stageyoke_front::attempt::forwarded_headers;
-use stageyoke_front::request::{Figures, KeptIdentifiers};
+use stageyoke_front::authentication::{Caller, KeyFreshness};
+use stageyoke_front::failure::Failure;
+use stageyoke_front::request::{RequestParameters, ScopedIdentifiers};
 use stageyoke_types::{ErrorKind, Text};
 use support::names;
 use tokio::time::Instant;
@@ -23,14 +23,14 @@
     for (name, value) in [("id", "r-2"), ("program", "p"), ("previous", "r-1")] {
         headers.insert(name, hyper::header::HeaderValue::from_static(value));
     }
-    let figures = Figures::read(&headers, &names(), Instant::now()).expect("figures");
+    let figures = RequestParameters::read(&headers, &names(), Instant::now()).expect("figures");
     let kept = |name: Option<&str>| {
         let tenant = name.map(|name| Tenant {
             name: Text::from(name),
             priority: None,
             limit: None,
         });
-        KeptIdentifiers::of(&figures, tenant.as_ref())
+        ScopedIdentifiers::of(&figures, tenant.as_ref())
     };
     let (ann, bob, nobody) = (kept(Some("ann")), kept(Some("bob")), kept(None));
     assert_ne!(ann.previous, bob.previous);
@@ -48,13 +48,13 @@
 fn what_names_no_program_has_none_for_a_tenant_either() {
     let mut headers = hyper::HeaderMap::new();
     headers.insert("id", hyper::header::HeaderValue::from_static("r-1"));
-    let figures = Figures::read(&headers, &names(), Instant::now()).expect("figures");
+    let figures = RequestParameters::read(&headers, &names(), Instant::now()).expect("figures");
     let tenant = Tenant {
         name: Text::from("ann"),
         priority: None,
         limit: None,
     };
-    let kept = KeptIdentifiers::of(&figures, Some(&tenant));
+    let kept = ScopedIdentifiers::of(&figures, Some(&tenant));
     assert!(kept.program.is_empty() && kept.previous.is_none());
 }
 
@@ -72,8 +72,8 @@
     #[case] taken: bool,
 ) {
     let bound = Duration::from_secs(2);
-    let trust = KeyTrust::new(bound, limit.map(Duration::from_millis));
-    assert_eq!(trust.holds(Duration::from_millis(age)), taken);
+    let trust = KeyFreshness::new(bound, limit.map(Duration::from_millis));
+    assert_eq!(trust.accepts_keys(Duration::from_millis(age)), taken);
 }
 
 fn tenant(priority: Option<u8>) -> Tenant {
@@ -125,7 +125,7 @@
 #[case(ErrorKind::BackEndFailed, false)]
 #[case(ErrorKind::DeadlineExceeded, false)]
 fn only_what_has_not_run_is_given_back(#[case] kind: ErrorKind, #[case] given_back: bool) {
-    assert_eq!(Failure::last(kind, "cause").not_run(), given_back);
+    assert_eq!(Failure::permanent(kind, "cause").is_not_run(), given_back);
 }
 
 /// Each tenant of a deployment had the same rank, and engines were told how far that was
@@ -145,9 +145,9 @@
     #[case] told: Option<u8>,
 ) {
     let scale = names().urgency;
-    let access = Access {
+    let access = Caller {
         tenant: Some(tenant(own)),
-        keyed: true,
+        tenants_configured: true,
     };
     let urgency = |engine| access.urgency(&route(of_route), &service(engine), &scale, false);
     assert_eq!(urgency(true), told);
@@ -160,7 +160,7 @@
 #[case(2, 8)]
 fn engines_are_told_routes_ranks_where_all_are_ordered(#[case] of_route: u8, #[case] told: u8) {
     let scale = names().urgency;
-    let urgency = Access::default().urgency(&route(of_route), &service(true), &scale, true);
+    let urgency = Caller::default().urgency(&route(of_route), &service(true), &scale, true);
     assert_eq!(urgency, Some(told));
 }
 
@@ -175,7 +175,7 @@
     let mut headers = HeaderMap::new();
     headers.append("urgency", HeaderValue::from_static("0"));
     headers.append("urgency", HeaderValue::from_static("1"));
-    let access = Access::default();
+    let access = Caller::default();
     let sent = forwarded_headers(&headers, &names(), &access, urgency).expect("headers");
     let heard: Vec<&HeaderValue> = sent.get_all("urgency").iter().collect();
     let expected: Vec<HeaderValue> = told.into_iter().map(HeaderValue::from_static).collect();
--- a/crates/stageyoke-front/tests/cells_test.rs
+++ b/crates/stageyoke-front/tests/cells_test.rs
@@ -8,9 +8,9 @@
 use rstest::rstest;
 use stageyoke_directory::{GroupNumber, ReplicaRecord, ReplicaStart, ReplicaState};
 use stageyoke_front::engine_rates::{CurrentRates, EngineRates};
-use stageyoke_front::fleet::{Fleet, Wanted};
 use stageyoke_front::placement::{Candidate, choose_engine};
-use stageyoke_front::prompt::Prompt;
+use stageyoke_front::prompt_cache::Prompt;
+use stageyoke_front::replica_registry::{ReplicaQuery, ReplicaRegistry};
 use stageyoke_store::LoadBoard;
 use stageyoke_store::load::PlacedTurns;
 use stageyoke_store::message::{OthersReport, Placement};
@@ -26,15 +26,15 @@
 fn engines() -> Vec<Candidate> {
     let engine = |hash: u64| Candidate {
         hash,
-        local: true,
+        same_zone: true,
         in_flight: 2,
         slots: SLOTS,
-        slowness: 1.0,
-        failure: 0.0,
-        held_tokens: 0,
+        slowdown: 1.0,
+        failure_probability: 0.0,
+        cached_tokens: 0,
         in_cell: hash < 4,
-        connected: true,
-        usable: true,
+        has_idle_connection: true,
+        eligible: true,
     };
     (0..12).map(engine).collect()
 }
@@ -60,7 +60,7 @@
     let spilled = choose_engine(&engines, 1_000, 7, &rates()).expect("engine");
     assert!(!engines[spilled].in_cell);
     let mut engines = self::engines();
-    engines[9].held_tokens = 2_000;
+    engines[9].cached_tokens = 2_000;
     assert_eq!(choose_engine(&engines, 2_100, 7, &rates()), Some(9));
 }
 
@@ -68,7 +68,7 @@
 fn a_cell_without_usable_engines_binds_nobody() {
     let mut engines = engines();
     for engine in &mut engines[..4] {
-        engine.usable = false;
+        engine.eligible = false;
     }
     let chosen = choose_engine(&engines, 1_000, 7, &rates()).expect("engine");
     assert!(!engines[chosen].in_cell);
@@ -90,12 +90,12 @@
 
 /// The engines of each group, by their hashes.
 fn cells(count: usize, groups: usize) -> Vec<BTreeSet<u64>> {
-    let fleet = Fleet::new(Rc::new(LoadBoard::new(1)));
-    fleet.set_groups(groups);
-    fleet.follow(&records(count), None);
+    let fleet = ReplicaRegistry::new(Rc::new(LoadBoard::new(1)));
+    fleet.set_store_groups(groups);
+    fleet.apply_list(&records(count), None);
     let cell = |group: u32| {
         let cell = RefCell::new(BTreeSet::new());
-        let wanted = Wanted {
+        let wanted = ReplicaQuery {
             service: SERVICE,
             zone: "zone",
             excluded: &[],
@@ -143,10 +143,10 @@
 #[tokio::test(start_paused = true)]
 async fn a_group_sees_its_own_count() {
     let board = Rc::new(LoadBoard::new(1));
-    let fleet = Fleet::new(board.clone());
-    fleet.set_groups(1);
-    fleet.follow(&records(6), None);
-    let wanted = Wanted {
+    let fleet = ReplicaRegistry::new(board.clone());
+    fleet.set_store_groups(1);
+    fleet.apply_list(&records(6), None);
+    let wanted = ReplicaQuery {
         service: SERVICE,
         zone: "zone",
         excluded: &[],
--- a/crates/stageyoke-front/tests/engine_rates_test.rs
+++ b/crates/stageyoke-front/tests/engine_rates_test.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use stageyoke_front::engine_rates::{CurrentRates, EngineRates, Slowness, TurnTiming};
+use stageyoke_front::engine_rates::{CurrentRates, EngineRates, Slowdown, TurnTiming};
 use stageyoke_front::placement::{Candidate, choose_engine};
 use tokio::time::Instant;
 
@@ -16,16 +16,16 @@
 }
 
 impl Engine {
-    fn turn(&self, missing_tokens: u32, running: f64) -> TurnTiming {
+    fn turn(&self, uncached_tokens: u32, concurrent_requests: f64) -> TurnTiming {
         let generated_tokens = 120;
-        let token = self.token + self.contention * running;
+        let token = self.token + self.contention * concurrent_requests;
         let milliseconds = |amount: f64| Duration::from_secs_f64(amount / 1e3);
         TurnTiming {
-            to_first_event: milliseconds(4.0 + self.reading * f64::from(missing_tokens)),
-            missing_tokens,
-            generating: milliseconds(token * f64::from(generated_tokens)),
+            time_to_first_event: milliseconds(4.0 + self.reading * f64::from(uncached_tokens)),
+            uncached_tokens,
+            generation_time: milliseconds(token * f64::from(generated_tokens)),
             generated_tokens,
-            running,
+            concurrent_requests,
             queued: false,
         }
     }
@@ -37,7 +37,7 @@
     for turn in 0..turns {
         let timing = engine.turn(turn * 397 % 4_000, f64::from(turn % 11));
         let now = began + Duration::from_millis(20 * u64::from(turn));
-        rates.note(&timing, 1.0, now);
+        rates.record(&timing, 1.0, now);
     }
     rates.current()
 }
@@ -60,11 +60,11 @@
         let contention = contention_part * token;
         let engine = Engine { token, contention, reading };
         let learnt = taught(engine, 500);
-        for running in [0.0, 5.0, 10.0] {
-            let expected = token + contention * running;
-            prop_assert!(near(learnt.token_beside(running), expected), "{learnt:?}");
+        for concurrent_requests in [0.0, 5.0, 10.0] {
+            let expected = token + contention * concurrent_requests;
+            prop_assert!(near(learnt.token_time(concurrent_requests), expected), "{learnt:?}");
         }
-        prop_assert!(near(learnt.reading, reading), "{learnt:?}");
+        prop_assert!(near(learnt.prefill_ms, reading), "{learnt:?}");
         prop_assert!(near(learnt.output_tokens, 120.0), "{learnt:?}");
     }
 
@@ -74,22 +74,22 @@
         turns in proptest::collection::vec((0_u32..20_000, 0_u64..5_000, 0_u64..5_000, 0_u32..2_000, 0_u32..200), 0..40),
     ) {
         let mut rates = EngineRates::default();
-        let mut slowness = Slowness::default();
+        let mut slowness = Slowdown::default();
         let mut now = Instant::now();
-        for (missing_tokens, head, generating, generated_tokens, running) in turns {
+        for (uncached_tokens, head, generation_time, generated_tokens, concurrent_requests) in turns {
             let timing = TurnTiming {
-                to_first_event: Duration::from_millis(head),
-                missing_tokens,
-                generating: Duration::from_millis(generating),
+                time_to_first_event: Duration::from_millis(head),
+                uncached_tokens,
+                generation_time: Duration::from_millis(generation_time),
                 generated_tokens,
-                running: f64::from(running),
-                queued: running > 100,
+                concurrent_requests: f64::from(concurrent_requests),
+                queued: concurrent_requests > 100,
             };
             now += Duration::from_millis(head);
-            slowness.note(&timing, &rates.current(), now);
-            rates.note(&timing, slowness.factor(now), now);
+            slowness.record(&timing, &rates.current(), now);
+            rates.record(&timing, slowness.factor(now), now);
             let current = rates.current();
-            for rate in [current.token, current.contention, current.reading, current.output_tokens] {
+            for rate in [current.token_ms, current.contention_ms, current.prefill_ms, current.output_tokens] {
                 prop_assert!(rate.is_finite() && rate >= 0.0, "{current:?}");
             }
             let factor = slowness.factor(now);
@@ -112,11 +112,11 @@
         contention: ENGINE.contention * 5.0,
         ..ENGINE
     };
-    let mut slowness = Slowness::default();
+    let mut slowness = Slowdown::default();
     let mut now = Instant::now();
     for _ in 0..8 {
         now += Duration::from_millis(100);
-        slowness.note(&slow.turn(0, 4.0), &rates, now);
+        slowness.record(&slow.turn(0, 4.0), &rates, now);
     }
     assert!(slowness.factor(now) > 3.0, "{}", slowness.factor(now));
     let later = now + Duration::from_secs(12);
@@ -129,7 +129,7 @@
     let now = Instant::now();
     for turn in 0..200 {
         let timing = ENGINE.turn(turn * 20, f64::from(turn % 9));
-        rates.note(&timing, 1.0, now);
+        rates.record(&timing, 1.0, now);
     }
     let before = rates.current();
     let slow = Engine {
@@ -137,23 +137,23 @@
         ..ENGINE
     };
     for _ in 0..200 {
-        rates.note(&slow.turn(0, 4.0), 4.0, now);
+        rates.record(&slow.turn(0, 4.0), 4.0, now);
     }
-    assert_eq!(rates.current().token, before.token);
+    assert_eq!(rates.current().token_ms, before.token_ms);
 }
 
-fn candidate(hash: u64, in_flight: u32, held_tokens: u32) -> Candidate {
+fn candidate(hash: u64, in_flight: u32, cached_tokens: u32) -> Candidate {
     Candidate {
         in_cell: false,
         hash,
-        local: true,
+        same_zone: true,
         in_flight,
         slots: 24,
-        slowness: 1.0,
-        failure: 0.0,
-        held_tokens,
-        connected: true,
-        usable: true,
+        slowdown: 1.0,
+        failure_probability: 0.0,
+        cached_tokens,
+        has_idle_connection: true,
+        eligible: true,
     }
 }
 
@@ -175,7 +175,7 @@
 fn a_slow_engine_gets_fewer_turns() {
     let rates = taught(ENGINE, 500);
     let mut engines = vec![candidate(1, 0, 0), candidate(2, 0, 0), candidate(3, 0, 0)];
-    engines[0].slowness = 4.0;
+    engines[0].slowdown = 4.0;
     let mut turns = [0_u32; 3];
     for program in 0..30 {
         let chosen = choose_engine(&engines, 0, program, &rates).expect("engine");
@@ -192,7 +192,7 @@
     let mut engines = vec![candidate(1, 4, 0), candidate(2, 6, 0), candidate(3, 6, 0)];
     let chosen = choose_engine(&engines, 0, 0, &rates);
     assert_eq!(chosen, Some(0));
-    engines[0].failure = 0.5;
+    engines[0].failure_probability = 0.5;
     let chosen = choose_engine(&engines, 0, 0, &rates).expect("engine");
     assert_ne!(chosen, 0);
     // Where the others are full it is used all the same.
--- a/crates/stageyoke-front/tests/front_test.rs
+++ b/crates/stageyoke-front/tests/front_test.rs
@@ -15,7 +15,7 @@
     RequestLimit, Route, RouteKind, RouteTable, ServiceSpec, StoreGroups, Target, Tenant, Tenants,
     Transaction, TransactionOutcome, Update, WatchOutcome, Write,
 };
-use stageyoke_front::beginnings::{BegunPrograms, service_number};
+use stageyoke_front::admission::{StartedPrograms, service_hash};
 use stageyoke_front::{FrontListeners, FrontSettings};
 use stageyoke_store::extension::{Extensions, RankLoad};
 use stageyoke_store::frame;
@@ -238,7 +238,7 @@
             _ => Reply::Pong,
         };
         let load = RankLoad {
-            service: service_number(&Text::from("service")),
+            service: service_hash(&Text::from("service")),
             rank: 0,
             under_way,
         };
@@ -509,7 +509,7 @@
         key_age_limit: None,
         memory_bytes: MEMORY_BYTES,
         admission_control,
-        uneven_engines: false,
+        heterogeneous_engines: false,
     };
     let stop = std::future::pending();
     tokio::task::spawn_local(stageyoke_front::run(
@@ -1082,11 +1082,11 @@
 /// What a front remembers of programs has a bound; the oldest go first.
 #[test]
 fn programs_that_have_begun_are_remembered_within_a_bound() {
-    let begun = BegunPrograms::default();
+    let begun = StartedPrograms::default();
     for program in 0..10_000 {
-        begun.note(&program.to_string());
-        begun.note("0");
+        begun.record(&program.to_string());
+        begun.record("0");
     }
     assert_eq!(begun.len(), 4096);
-    assert!(begun.knows("9999") && !begun.knows("1"));
+    assert!(begun.has_started("9999") && !begun.has_started("1"));
 }
--- a/crates/stageyoke-front/tests/health_test.rs
+++ b/crates/stageyoke-front/tests/health_test.rs
@@ -7,11 +7,13 @@
 use proptest::prelude::*;
 use rstest::rstest;
 use stageyoke_directory::{GroupNumber, ReplicaRecord, ReplicaStart, ReplicaState};
-use stageyoke_front::fleet::{Fleet, Wanted};
-use stageyoke_front::health::{CAUTION, Evidence, Health, SUSPENSION, combined};
+use stageyoke_front::health::{
+    CAUTION_THRESHOLD, Evidence, Health, SUSPENSION_THRESHOLD, combine_estimates,
+};
 use stageyoke_front::placement::{self, Candidate};
-use stageyoke_front::prompt::Prompt;
+use stageyoke_front::prompt_cache::Prompt;
 use stageyoke_front::replica::Replica;
+use stageyoke_front::replica_registry::{ReplicaQuery, ReplicaRegistry};
 use stageyoke_store::load::LoadReports;
 use stageyoke_store::{LoadBoard, message::OthersReport};
 use stageyoke_types::{List, Text};
@@ -35,19 +37,19 @@
         .collect()
 }
 
-fn fleet(replicas: u8) -> (Fleet, Rc<LoadBoard>) {
+fn fleet(replicas: u8) -> (ReplicaRegistry, Rc<LoadBoard>) {
     let board = Rc::new(LoadBoard::new(1));
-    let fleet = Fleet::new(board.clone());
-    fleet.follow(&records(replicas), None);
+    let fleet = ReplicaRegistry::new(board.clone());
+    fleet.apply_list(&records(replicas), None);
     (fleet, board)
 }
 
-fn choose(fleet: &Fleet, repeatable: bool, tie: u64) -> Rc<Replica> {
+fn choose(fleet: &ReplicaRegistry, repeatable: bool, tie: u64) -> Rc<Replica> {
     find(fleet, repeatable, tie).expect("a replica")
 }
 
-fn find(fleet: &Fleet, repeatable: bool, tie: u64) -> Option<Rc<Replica>> {
-    let wanted = Wanted {
+fn find(fleet: &ReplicaRegistry, repeatable: bool, tie: u64) -> Option<Rc<Replica>> {
+    let wanted = ReplicaQuery {
         group: None,
         service: SERVICE,
         zone: "zone",
@@ -60,7 +62,7 @@
 }
 
 /// How often each of many requests goes to this replica.
-fn offers(fleet: &Fleet, replica: &Replica, repeatable: bool) -> usize {
+fn offers(fleet: &ReplicaRegistry, replica: &Replica, repeatable: bool) -> usize {
     (0..64)
         .filter(|tie| choose(fleet, repeatable, *tie).id == replica.id)
         .count()
@@ -68,7 +70,7 @@
 
 fn lose(replica: &Replica, answers: u32) {
     for _ in 0..answers {
-        replica.note(Evidence::Lost);
+        replica.record(Evidence::Lost);
     }
 }
 
@@ -107,7 +109,7 @@
             7 => Evidence::Lost,
             _ => Evidence::Sound,
         };
-        replica.note(evidence);
+        replica.record(evidence);
         assert!(offers(&fleet, &replica, false) > 0, "round {round}");
         tokio::time::advance(Duration::from_millis(30)).await;
     }
@@ -118,7 +120,7 @@
 async fn one_reset_at_once_keeps_away_what_may_run_only_once() {
     let (fleet, board) = fleet(3);
     let bad = choose(&fleet, false, 0);
-    bad.note(Evidence::Reset);
+    bad.record(Evidence::Reset);
     assert_eq!(offers(&fleet, &bad, false), 0);
     assert!(
         offers(&fleet, &bad, true) > 0,
@@ -129,7 +131,7 @@
         1,
         "and others are told"
     );
-    bad.note(Evidence::Reset);
+    bad.record(Evidence::Reset);
     assert_eq!(offers(&fleet, &bad, true), 0);
 }
 
@@ -137,7 +139,7 @@
 async fn an_unreachable_replica_is_suspended_at_once() {
     let (fleet, _) = fleet(3);
     let bad = choose(&fleet, false, 0);
-    bad.note(Evidence::Unreachable);
+    bad.record(Evidence::Unreachable);
     assert_eq!(offers(&fleet, &bad, true), 0);
 }
 
@@ -147,8 +149,8 @@
     let bad = choose(&fleet, false, 0);
     lose(&bad, 2);
     assert_eq!(offers(&fleet, &bad, false), 0);
-    bad.note(Evidence::Sound);
-    bad.note(Evidence::Sound);
+    bad.record(Evidence::Sound);
+    bad.record(Evidence::Sound);
     assert!(offers(&fleet, &bad, false) > 0);
 }
 
@@ -156,7 +158,7 @@
 async fn failing_replicas_are_used_where_there_is_no_other() {
     let (fleet, _) = fleet(1);
     let only = choose(&fleet, false, 0);
-    only.note(Evidence::Unreachable);
+    only.record(Evidence::Unreachable);
     assert_eq!(offers(&fleet, &only, false), 64);
 }
 
@@ -171,9 +173,9 @@
     let mut offered = Vec::new();
     for front in 2..=4 {
         let other = Rc::new(LoadBoard::new(front));
-        let others = Fleet::new(other.clone());
+        let others = ReplicaRegistry::new(other.clone());
         let record = bad.record.clone();
-        others.follow(&BTreeMap::from([(bad.id.clone(), record)]), None);
+        others.apply_list(&BTreeMap::from([(bad.id.clone(), record)]), None);
         lose(&choose(&others, false, 0), 2);
         store.take(other.report(GroupNumber(0)));
         hear();
@@ -216,12 +218,12 @@
 #[tokio::test(start_paused = true)]
 async fn replicas_whose_entries_lapse_together_serve_on_for_a_while() {
     let (fleet, _) = fleet(4);
-    fleet.follow(&BTreeMap::new(), Some(Instant::now() + BACK_WITHIN));
+    fleet.apply_list(&BTreeMap::new(), Some(Instant::now() + BACK_WITHIN));
     assert!(find(&fleet, false, 0).is_some());
     tokio::time::advance(BACK_WITHIN / 2).await;
-    fleet.follow(&records(1), None);
+    fleet.apply_list(&records(1), None);
     let back = choose(&fleet, false, 0).id.clone();
-    assert!(!fleet.has_lapses_over());
+    assert!(!fleet.has_expired_lapses());
     tokio::time::advance(BACK_WITHIN / 2).await;
     let left: Vec<Text> = (0..32)
         .map(|tie| choose(&fleet, false, tie).id.clone())
@@ -230,10 +232,10 @@
         left.iter().all(|id| id.as_str() == "replica-0"),
         "{back} {left:?}"
     );
-    assert!(fleet.has_lapses_over());
-    fleet.follow(&records(1), None);
-    assert!(!fleet.has_lapses_over());
-    fleet.follow(&BTreeMap::new(), Some(Instant::now() + BACK_WITHIN));
+    assert!(fleet.has_expired_lapses());
+    fleet.apply_list(&records(1), None);
+    assert!(!fleet.has_expired_lapses());
+    fleet.apply_list(&BTreeMap::new(), Some(Instant::now() + BACK_WITHIN));
     tokio::time::advance(BACK_WITHIN).await;
     assert!(find(&fleet, false, 0).is_none(), "a lapse ends");
 }
@@ -253,7 +255,7 @@
 ) {
     let (fleet, _) = fleet(before);
     let until = back_within.map(|within| Instant::now() + within);
-    fleet.follow(&records(after), until);
+    fleet.apply_list(&records(after), until);
     let offered: Vec<Text> = (0..64)
         .filter_map(|tie| find(&fleet, false, tie))
         .map(|replica| replica.id.clone())
@@ -271,8 +273,8 @@
     let (fleet, _) = fleet(8);
     let mut rest = records(8);
     rest.remove("replica-7");
-    fleet.follow(&rest, None);
-    let chosen = |fleet: &Fleet| -> Vec<Text> {
+    fleet.apply_list(&rest, None);
+    let chosen = |fleet: &ReplicaRegistry| -> Vec<Text> {
         (0..64)
             .map(|tie| choose(fleet, false, tie).id.clone())
             .collect()
@@ -281,7 +283,7 @@
     for record in rest.values_mut() {
         record.state = ReplicaState::Draining;
     }
-    fleet.follow(&rest, None);
+    fleet.apply_list(&rest, None);
     assert!(find(&fleet, false, 0).is_none());
 }
 
@@ -303,15 +305,15 @@
                 3 => Evidence::Reset,
                 _ => Evidence::Unreachable,
             };
-            health.note(evidence, now);
-            let failure = health.failure(now);
+            health.record(evidence, now);
+            let failure = health.failure_probability(now);
             prop_assert!((0.0..=1.0).contains(&failure));
-            prop_assert!((failure..=1.0).contains(&combined(failure, reports)));
-            let after = now + health.cautious_for(now) + Duration::from_micros(10);
-            prop_assert!(health.failure(after) <= CAUTION);
+            prop_assert!((failure..=1.0).contains(&combine_estimates(failure, reports)));
+            let after = now + health.time_above_caution(now) + Duration::from_micros(10);
+            prop_assert!(health.failure_probability(after) <= CAUTION_THRESHOLD);
             now += Duration::from_millis(pause);
-            prop_assert!(health.failure(now) <= failure);
+            prop_assert!(health.failure_probability(now) <= failure);
         }
-        prop_assert!(health.failure(now + Duration::from_secs(60)) < SUSPENSION);
+        prop_assert!(health.failure_probability(now + Duration::from_secs(60)) < SUSPENSION_THRESHOLD);
     }
 }
--- a/crates/stageyoke-front/tests/left_replica_test.rs
+++ b/crates/stageyoke-front/tests/left_replica_test.rs
@@ -222,7 +222,7 @@
             key_age_limit: None,
             memory_bytes: 100_000_000,
             admission_control: false,
-            uneven_engines: false,
+            heterogeneous_engines: false,
         };
         let never = std::future::pending();
         tokio::task::spawn_local(stageyoke_front::run(
--- a/crates/stageyoke-front/tests/list_end/world.rs
+++ b/crates/stageyoke-front/tests/list_end/world.rs
@@ -10,9 +10,9 @@
     Acceptable, DirectoryRelay, DirectorySource, Freshness, Mirror, Relayed, Telling, ToldChanges,
     ToldItems, ToldRoutes,
 };
-use stageyoke_front::fleet::{Fleet, Wanted};
 use stageyoke_front::placement::Candidate;
-use stageyoke_front::prompt::Prompt;
+use stageyoke_front::prompt_cache::Prompt;
+use stageyoke_front::replica_registry::{ReplicaQuery, ReplicaRegistry};
 use stageyoke_store::LoadBoard;
 use stageyoke_types::Text;
 use tokio::time::Instant;
@@ -109,7 +109,7 @@
     pub cut: Rc<Cell<bool>>,
     mirror: Rc<Follower>,
     stores: Vec<Rc<Follower>>,
-    fleet: Rc<Fleet>,
+    fleet: Rc<ReplicaRegistry>,
 }
 
 impl Front {
@@ -127,12 +127,12 @@
             freshness: mirror.freshness().clone(),
         };
         let mirror = Rc::new(mirror.relayed(Rc::new(ways)));
-        let fleet = Rc::new(Fleet::new(Rc::new(LoadBoard::new(1))));
+        let fleet = Rc::new(ReplicaRegistry::new(Rc::new(LoadBoard::new(1))));
         let (following, followed) = (fleet.clone(), mirror.clone());
         tokio::task::spawn_local(async move {
             let report = |_| {
                 let view = followed.view();
-                following.follow(&view.replicas, followed.entries_back_until());
+                following.apply_list(&view.replicas, followed.entries_back_until());
             };
             followed.run(report).await;
         });
@@ -167,7 +167,7 @@
         let mut offered = BTreeSet::new();
         let mut excluded: Vec<Text> = Vec::new();
         loop {
-            let wanted = Wanted {
+            let wanted = ReplicaQuery {
                 group: None,
                 service: crate::list::SERVICE,
                 zone: "zone",
@@ -175,8 +175,9 @@
                 prompt: &Prompt::default(),
                 repeatable: true,
             };
-            let choose =
-                |candidates: &[Candidate]| candidates.iter().position(|candidate| candidate.usable);
+            let choose = |candidates: &[Candidate]| {
+                candidates.iter().position(|candidate| candidate.eligible)
+            };
             let Some(replica) = self.fleet.choose(&wanted, choose) else {
                 return offered;
             };
--- a/crates/stageyoke-front/tests/slow_replicas_test.rs
+++ b/crates/stageyoke-front/tests/slow_replicas_test.rs
@@ -9,7 +9,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use stageyoke_directory::GroupNumber;
-use stageyoke_front::pace::UsualTimes;
+use stageyoke_front::baseline_latency::BaselineLatencies;
 use stageyoke_front::placement::{Candidate, choose_plain};
 use stageyoke_store::LoadBoard;
 use stageyoke_store::load::LoadReports;
@@ -69,7 +69,7 @@
     let boards: Vec<LoadBoard> = (0..FRONTS)
         .map(|front| LoadBoard::new(front as u32))
         .collect();
-    let usual: Vec<UsualTimes> = (0..FRONTS).map(|_| UsualTimes::default()).collect();
+    let usual: Vec<BaselineLatencies> = (0..FRONTS).map(|_| BaselineLatencies::default()).collect();
     let stores: Vec<LoadReports> = GROUPS.iter().map(|_| LoadReports::default()).collect();
     let routes = [("reads", 26.0), ("pulls", 104.0), ("tiles", 69.4)];
     let names = routes.map(|(name, _)| Text::from(name));
@@ -93,15 +93,15 @@
             let candidates: Vec<Candidate> = (0..REPLICAS)
                 .map(|replica| Candidate {
                     hash: replica as u64,
-                    local: replica % 4 == front % 4,
+                    same_zone: replica % 4 == front % 4,
                     in_flight: boards[front].under_way(replica as u32),
                     slots: SLOTS as u32,
-                    slowness: boards[front].slowness(replica as u32),
-                    failure: 0.0,
-                    held_tokens: 0,
+                    slowdown: boards[front].slowness(replica as u32),
+                    failure_probability: 0.0,
+                    cached_tokens: 0,
                     in_cell: false,
-                    connected: true,
-                    usable: true,
+                    has_idle_connection: true,
+                    eligible: true,
                 })
                 .collect();
             let chosen = choose_plain(&candidates, random.random()).expect("a replica");
@@ -132,7 +132,7 @@
                 let took = time - job.began;
                 boards[job.front].end(number as u32);
                 let took_for = Duration::from_millis(took);
-                let ratio = usual[job.front].ratio(&names[job.route], took_for);
+                let ratio = usual[job.front].record_slowdown(&names[job.route], took_for);
                 boards[job.front].note_pace(number as u32, ratio);
                 if (SLOW_FROM..SLOW_UNTIL).contains(&job.began) {
                     seen.late += usize::from(took >= LATE);
--- a/crates/stageyoke-front/tests/support/mod.rs
+++ b/crates/stageyoke-front/tests/support/mod.rs
@@ -1,12 +1,12 @@
 //! Names that the front's tests use.
 
 use hyper::header::HeaderName;
-use stageyoke_front::{Names, UrgencyScale};
+use stageyoke_front::{ProtocolNames, UrgencyScale};
 
 /// Short header names and paths.
-pub fn names() -> Names {
+pub fn names() -> ProtocolNames {
     let name = HeaderName::from_static;
-    Names {
+    ProtocolNames {
         request_id: name("id"),
         deadline: name("deadline"),
         signature: name("signed"),
@@ -15,13 +15,13 @@
         token_counts: name("tokens"),
         prompt_parts: name("parts"),
         program: name("program"),
-        finish: name("finish"),
+        program_deadline: name("finish"),
         budget: name("budget"),
         previous_turn: name("previous"),
         tenant: name("tenant"),
         urgency: UrgencyScale {
             header: name("urgency"),
-            last: 9,
+            least_urgent: 9,
         },
         object_cookie: "object",
         reserved: vec![name("copy-from")],
--- a/crates/stageyoke-front/tests/tenant_report_test.rs
+++ b/crates/stageyoke-front/tests/tenant_report_test.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use stageyoke_directory::{KeyDigest, Limits, RequestLimit, RouteTable, Tenant, Tenants};
-use stageyoke_front::tenant_report::TenantReport;
+use stageyoke_front::tenant_warnings::TenantWarnings;
 use stageyoke_types::{Event, Text};
 
 /// A table of tenants: name, keys, requests a second (nought: no limit).
@@ -38,20 +38,20 @@
 
 #[test]
 fn what_is_in_order_is_not_told() {
-    let report = TenantReport::default();
-    let found = report.follow(&table(1, &[("ann", &["k-1"], 10), ("bob", &["k-2"], 20)]));
+    let report = TenantWarnings::default();
+    let found = report.update(&table(1, &[("ann", &["k-1"], 10), ("bob", &["k-2"], 20)]));
     assert_eq!(found, []);
 }
 
 #[test]
 fn shared_keys_missing_keys_and_missing_limits_are_told() {
-    let report = TenantReport::default();
+    let report = TenantWarnings::default();
     let listed: &[(&str, &[&str], u32)] = &[
         ("ann", &["k-1"], 0),
         ("bob", &["k-1", "k-2"], 20),
         ("eve", &[], 20),
     ];
-    let found = report.follow(&table(7, listed));
+    let found = report.update(&table(7, listed));
     let contested = "version=7 count=1 tenants=bob".to_owned();
     let unusual = "version=7 without_keys_count=1 without_keys_tenants=eve \
                    without_limit_count=1 without_limit_tenants=ann"
@@ -68,12 +68,12 @@
 /// Configurations come by the thousand a day: a line for each would say nothing new.
 #[test]
 fn it_is_told_again_only_when_it_changes() {
-    let report = TenantReport::default();
+    let report = TenantWarnings::default();
     let without = |version| table(version, &[("ann", &[], 10)]);
-    assert_eq!(report.follow(&without(1)).len(), 1);
-    assert_eq!(report.follow(&without(2)), []);
-    assert_eq!(report.follow(&table(3, &[("ann", &["k-1"], 10)])), []);
-    assert_eq!(report.follow(&without(4)).len(), 1);
+    assert_eq!(report.update(&without(1)).len(), 1);
+    assert_eq!(report.update(&without(2)), []);
+    assert_eq!(report.update(&table(3, &[("ann", &["k-1"], 10)])), []);
+    assert_eq!(report.update(&without(4)).len(), 1);
 }
 
 /// A line names eight tenants of a thousand, and their number.
@@ -84,7 +84,7 @@
         .iter()
         .map(|name| (name.as_str(), &[][..], 0))
         .collect();
-    let found = TenantReport::default().follow(&table(1, &listed));
+    let found = TenantWarnings::default().update(&table(1, &listed));
     assert!(found[0].1.contains("without_keys_count=1000"));
     assert!(found[0].1.len() < 400, "{}", found[0].1);
 }
