--- a/crates/stageyoke-front/src/routing.rs
+++ b/crates/stageyoke-front/src/routing.rs
@@ -57,9 +57,9 @@
         {
             return Ok(matched);
         }
-        let changes = self.mirror.changes();
+        let changes = self.mirror.change_count();
         let confirmed = tokio::time::timeout(LOOKUP_TIMEOUT, self.mirror.confirm_routes()).await;
-        if self.mirror.changes() != changes {
+        if self.mirror.change_count() != changes {
             // No event of the mirror tells of a configuration that is read here: metrics
             // and the lines on tenants stayed behind until the next change.
             self.apply_directory();
--- a/crates/stageyoke-store/src/group_clients.rs
+++ b/crates/stageyoke-store/src/group_clients.rs
@@ -17,7 +17,7 @@
 use crate::load::LoadTracker;
 use crate::message::{ChainPart, Placement, Record, Request};
 use crate::quorum::{ChainLookup, LedgerView};
-use crate::quota_owners::{self, QuotaDecision, QuotaGrant, QuotaOwners};
+use crate::quota_owners::{self, OwnerDecision, QuotaGrant, QuotaOwners};
 
 /// How long the group that a program belongs to may take before the others are
 /// asked for a turn that the program goes on from: another program may have
@@ -106,7 +106,7 @@
 
     /// Asks the stores that count a tenant's requests for one more; `None` where
     /// none of them answers.
-    pub async fn request_quota(&self, question: AcquireRequest) -> Option<QuotaDecision> {
+    pub async fn request_quota(&self, question: AcquireRequest) -> Option<OwnerDecision> {
         let client = |node: &Text| self.client(node);
         self.owners.request_decision(question, client).await
     }
--- a/crates/stageyoke-store/src/quota_owners.rs
+++ b/crates/stageyoke-store/src/quota_owners.rs
@@ -74,7 +74,7 @@
 
 /// What an owner has said.
 #[derive(Clone, Debug, PartialEq)]
-pub struct QuotaDecision {
+pub struct OwnerDecision {
     /// Whether the request may be made.
     pub verdict: QuotaDecision,
     /// Fronts that the owner hears from.
@@ -176,7 +176,7 @@
         &self,
         question: AcquireRequest,
         client: impl Fn(&Text) -> Option<Rc<StoreClient>>,
-    ) -> Option<QuotaDecision> {
+    ) -> Option<OwnerDecision> {
         let ranking = self.ranking(question.tenant);
         let counting = ranking.counting.iter();
         let (distrusted, trusted): (Vec<_>, Vec<_>) =
@@ -210,7 +210,7 @@
         question: AcquireRequest,
         asking: Asking,
         client: &impl Fn(&Text) -> Option<Rc<StoreClient>>,
-    ) -> Option<QuotaDecision> {
+    ) -> Option<OwnerDecision> {
         let asked = client(node)?;
         let tenant = question.tenant;
         let question = QuotaQuestion {
@@ -219,7 +219,7 @@
             ..QuotaQuestion::from(question)
         };
         match asked.call(Request::Quota(question), ANSWER_WITHIN).await {
-            Ok(Reply::Quota(answer)) => Some(QuotaDecision::of(answer, node, tenant)),
+            Ok(Reply::Quota(answer)) => Some(OwnerDecision::of(answer, node, tenant)),
             Ok(_) | Err(_) => {
                 let until = Instant::now() + DISTRUST;
                 self.distrusted.borrow_mut().insert(node.clone(), until);
@@ -235,9 +235,9 @@
         &self,
         node: &Text,
         question: AcquireRequest,
-        ruling: QuotaDecision,
+        ruling: OwnerDecision,
         client: impl Fn(&Text) -> Option<Rc<StoreClient>>,
-    ) -> QuotaDecision {
+    ) -> OwnerDecision {
         if ruling.verdict == QuotaDecision::Granted {
             let others = self.counting.iter().filter(|other| *other != node);
             tell_granted(question, others.filter_map(client));
@@ -276,7 +276,7 @@
     }
 }
 
-impl QuotaDecision {
+impl OwnerDecision {
     fn of(answer: QuotaAnswer, owner: &Text, tenant: u64) -> Self {
         let after = Duration::from_millis(u64::from(answer.retry_after_milliseconds));
         let verdict = match (answer.known, answer.granted) {
