--- a/crates/stageyoke-front/src/bootstrap.rs
+++ b/crates/stageyoke-front/src/bootstrap.rs
@@ -5,8 +5,8 @@
 
 use stageyoke_directory::{Interpreter, KeyValueService, Mirror};
 use stageyoke_store::StoreClient;
+use stageyoke_store::directory_relay::from_directory_item;
 use stageyoke_store::message::{Reply, Request};
-use stageyoke_store::relay::told_item;
 use stageyoke_types::Event;
 
 use stageyoke_observe as observe;
@@ -29,7 +29,7 @@
         let client = StoreClient::new(&stores[next]);
         next = (next + 1) % stores.len();
         let items = match client.call(Request::Items, ASK_WITHIN).await {
-            Ok(Reply::Items(seen)) => seen.into_iter().map(told_item).collect(),
+            Ok(Reply::Items(seen)) => seen.into_iter().map(from_directory_item).collect(),
             Ok(_) | Err(_) => Vec::new(),
         };
         let count = items.len();
--- a/crates/stageyoke-front/src/front.rs
+++ b/crates/stageyoke-front/src/front.rs
@@ -11,9 +11,9 @@
 use stageyoke_directory::{GroupNumber, Interpreter, KeyValueService, Mirror, Tolerance};
 use stageyoke_policy::retry_budget::RetryBudget;
 use stageyoke_store::Groups;
+use stageyoke_store::directory_relay::StoreRelay;
 use stageyoke_store::extension::describe_build;
-use stageyoke_store::relay::StoreRelay;
-use stageyoke_store::role::report_mirror_event;
+use stageyoke_store::store_host::log_mirror_event;
 use stageyoke_types::{Event, Text};
 use tokio::net::TcpListener;
 
@@ -242,7 +242,7 @@
         let mirror = following.mirror.clone();
         let report = |event| {
             following.follow();
-            report_mirror_event(event);
+            log_mirror_event(event);
         };
         mirror.run(report).await;
     });
--- a/crates/stageyoke-front/src/history.rs
+++ b/crates/stageyoke-front/src/history.rs
@@ -105,7 +105,7 @@
         let record = Record::Reserve {
             program: program.clone(),
             turn: turn.clone(),
-            most,
+            max_tokens: most,
         };
         let began = Instant::now();
         let ledger = self.stores.append_placed(record, placement, within).await;
@@ -120,7 +120,7 @@
         let record = Record::Settle {
             program: program.clone(),
             turn: turn.clone(),
-            used,
+            used_tokens: used,
         };
         self.stores.append_in_background(record, SETTLE_WITHIN);
     }
@@ -227,7 +227,7 @@
         previous: kept.previous.clone().unwrap_or_default(),
         input: Blob(input),
         output: Blob::from(output),
-        used,
+        used_tokens: used,
         retention_seconds: retention.as_secs_f64().ceil() as u32,
     }
 }
--- a/crates/stageyoke-front/src/offer.rs
+++ b/crates/stageyoke-front/src/offer.rs
@@ -319,7 +319,7 @@
         .saturating_duration_since(Instant::now());
     Placement {
         replica: replica.short_hash(),
-        lasting_milliseconds: u32::try_from(left.as_millis()).unwrap_or(u32::MAX),
+        max_duration_milliseconds: u32::try_from(left.as_millis()).unwrap_or(u32::MAX),
     }
 }
 
--- a/crates/stageyoke-front/tests/cells_test.rs
+++ b/crates/stageyoke-front/tests/cells_test.rs
@@ -13,7 +13,7 @@
 use stageyoke_front::prompt::Prompt;
 use stageyoke_store::LoadBoard;
 use stageyoke_store::load::PlacedTurns;
-use stageyoke_store::message::{OthersReport, Placement};
+use stageyoke_store::message::{OtherFrontsReport, Placement};
 use stageyoke_types::Text;
 
 const SERVICE: &str = "engines";
@@ -159,12 +159,12 @@
     for turn in 0..5 {
         let placement = Placement {
             replica: first.short_hash(),
-            lasting_milliseconds: 4_000,
+            max_duration_milliseconds: 4_000,
         };
         placed.begin(turn, placement);
     }
-    let told = OthersReport {
-        placed: placed.others(9),
+    let told = OtherFrontsReport {
+        placed_turns: placed.others(9),
         ..Default::default()
     };
     board.hear(GroupNumber(0), told);
--- a/crates/stageyoke-front/tests/front_test.rs
+++ b/crates/stageyoke-front/tests/front_test.rs
@@ -17,10 +17,10 @@
 };
 use stageyoke_front::beginnings::{BegunPrograms, service_number};
 use stageyoke_front::{FrontListeners, FrontSettings};
-use stageyoke_store::extension::{Extensions, RankLoad};
+use stageyoke_store::extension::{ExtensionFields, RankLoad};
 use stageyoke_store::frame;
 use stageyoke_store::message::{
-    Numbered, OthersReport, QuotaAnswer, QuotaReceipt, Record, Reply, Request as StoreRequest,
+    Numbered, OtherFrontsReport, QuotaReceipt, QuotaReply, Record, Reply, Request as StoreRequest,
 };
 use stageyoke_types::{List, Text};
 use support::names;
@@ -168,14 +168,14 @@
                     slot: granted.get(),
                     ..QuotaReceipt::default()
                 };
-                Reply::Quota(QuotaAnswer {
-                    known: true,
+                Reply::Quota(QuotaReply {
+                    decided: true,
                     granted: true,
                     receipt,
-                    ..QuotaAnswer::default()
+                    ..QuotaReply::default()
                 })
             }
-            StoreRequest::QuotaReturned { receipt, .. } => {
+            StoreRequest::QuotaRefund { receipt, .. } => {
                 returned.borrow_mut().push(receipt.slot);
                 Reply::Pong
             }
@@ -222,16 +222,16 @@
     reserved: Rc<RefCell<Vec<String>>>,
 ) {
     let (mut reader, mut writer) = stream.into_split();
-    while let Ok(asked) = frame::read_extended::<StoreRequest>(&mut reader).await {
+    while let Ok(asked) = frame::read_with_fields::<StoreRequest>(&mut reader).await {
         let content = match asked.message.content {
             StoreRequest::Append { record, .. } => {
                 if let Record::Reserve { program, .. } = record {
                     reserved.borrow_mut().push(program.to_string());
                 }
-                Reply::Kept {
+                Reply::Stored {
                     complete: true,
                     ledger: List::default(),
-                    others: OthersReport::default(),
+                    other_fronts: OtherFrontsReport::default(),
                     directory: Default::default(),
                 }
             }
@@ -240,18 +240,21 @@
         let load = RankLoad {
             service: service_number(&Text::from("service")),
             rank: 0,
-            under_way,
+            in_flight: under_way,
         };
         let extensions = match first_version {
-            true => Extensions::default(),
-            false => Extensions {
+            true => ExtensionFields::default(),
+            false => ExtensionFields {
                 rank_loads: Some(List(vec![load])),
-                begun: asked.extensions.program.map(|name| name.as_str() == BEGUN),
-                ..Extensions::greeting()
+                started: asked
+                    .extension_fields
+                    .program
+                    .map(|name| name.as_str() == BEGUN),
+                ..ExtensionFields::greeting()
             },
         };
         let number = asked.message.number;
-        let bytes = frame::encode_extended(&Numbered { number, content }, &extensions);
+        let bytes = frame::encode_with_fields(&Numbered { number, content }, &extensions);
         if writer.write_all(&bytes).await.is_err() {
             return;
         }
--- a/crates/stageyoke-front/tests/health_test.rs
+++ b/crates/stageyoke-front/tests/health_test.rs
@@ -13,7 +13,7 @@
 use stageyoke_front::prompt::Prompt;
 use stageyoke_front::replica::Replica;
 use stageyoke_store::load::LoadReports;
-use stageyoke_store::{LoadBoard, message::OthersReport};
+use stageyoke_store::{LoadBoard, message::OtherFrontsReport};
 use stageyoke_types::{List, Text};
 use tokio::time::Instant;
 
@@ -202,10 +202,10 @@
             front,
             entries: List(Vec::new()),
             suspects: List((0..100).map(|number| number * front).collect()),
-            paces: Default::default(),
+            latencies: Default::default(),
         });
     }
-    let OthersReport { suspects, .. } = store.of_others(1);
+    let OtherFrontsReport { suspects, .. } = store.of_others(1);
     assert_eq!(suspects.len(), stageyoke_store::load::MAX_SUSPECTS);
     board.suspect(1, Duration::ZERO);
     tokio::time::advance(Duration::from_secs(2)).await;
--- a/crates/stageyoke-front/tests/slow_replicas_test.rs
+++ b/crates/stageyoke-front/tests/slow_replicas_test.rs
@@ -83,7 +83,7 @@
                 stores[group].take(board.report(GROUPS[group]));
                 let mut others = stores[group].of_others(front as u32);
                 if !told {
-                    others.slow = Default::default();
+                    others.slow_replicas = Default::default();
                 }
                 board.hear(GROUPS[group], others);
             }
--- a/crates/stageyoke-store/src/client.rs
+++ b/crates/stageyoke-store/src/client.rs
@@ -14,8 +14,8 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-use crate::extension::Extensions;
-use crate::frame::{self, Encoded};
+use crate::extension::ExtensionFields;
+use crate::frame::{self, EncodedMessage};
 use crate::message::{Reply, Request};
 use crate::peer_version::PeerVersion;
 use crate::socket;
@@ -47,19 +47,19 @@
 
 /// A reply with the fields behind it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct ExtendedReply {
     /// The reply.
     pub reply: Reply,
     /// What travelled behind it; nothing from a store that reads no fields.
-    pub extensions: Extensions,
+    pub extension_fields: ExtensionFields,
 }
 
-type Pending = Rc<RefCell<HashMap<u64, oneshot::Sender<Answer>>>>;
+type Pending = Rc<RefCell<HashMap<u64, oneshot::Sender<ExtendedReply>>>>;
 
 struct Outgoing {
-    request: Encoded,
-    extensions: Rc<Extensions>,
-    answer: oneshot::Sender<Answer>,
+    request: EncodedMessage,
+    extensions: Rc<ExtensionFields>,
+    answer: oneshot::Sender<ExtendedReply>,
 }
 
 /// One store, with a connection that is opened when it is first needed.
@@ -94,26 +94,29 @@
 
     /// Sends a request and waits for its reply.
     pub async fn call(&self, request: Request, within: Duration) -> Result<Reply, CallError> {
-        self.call_encoded(Encoded::of(&request), within).await
+        self.call_encoded(EncodedMessage::encode(&request), within)
+            .await
     }
 
     /// Sends a request that was encoded before and waits for its reply.
     pub async fn call_encoded(
         &self,
-        request: Encoded,
+        request: EncodedMessage,
         within: Duration,
     ) -> Result<Reply, CallError> {
-        let answer = self.call_extended(request, Rc::default(), within).await?;
+        let answer = self
+            .call_with_fields(request, Rc::default(), within)
+            .await?;
         Ok(answer.reply)
     }
 
     /// The same with fields behind the request, which a store that reads none is not sent.
-    pub async fn call_extended(
+    pub async fn call_with_fields(
         &self,
-        request: Encoded,
-        extensions: Rc<Extensions>,
+        request: EncodedMessage,
+        extensions: Rc<ExtensionFields>,
         within: Duration,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<ExtendedReply, CallError> {
         let (answer, reply) = oneshot::channel();
         let outgoing = Outgoing {
             request,
@@ -179,7 +182,7 @@
         let (frames, outbox) = unbounded_channel();
         let (ended, mut reader_ended) = oneshot::channel();
         let _sending = AbortOnDrop(tokio::task::spawn_local(async move {
-            let _ = frame::write_waiting(writer, outbox).await;
+            let _ = frame::write_queued_frames(writer, outbox).await;
         }));
         let peer = Rc::new(PeerVersion::unknown(self.address.clone()));
         let receiving = receive(
@@ -235,7 +238,7 @@
             self.owing_since = Instant::now();
         }
         waiting.insert(self.next_number, outgoing.answer);
-        let extensions = peer.behind(&outgoing.extensions);
+        let extensions = peer.fields_for_next_message(&outgoing.extensions);
         let frame = outgoing.request.frame(self.next_number, &extensions);
         let _ = frames.send(frame);
     }
@@ -251,19 +254,19 @@
 ) {
     let mut reader = BufReader::new(reader);
     let error = loop {
-        let received = match frame::read_extended::<Reply>(&mut reader).await {
+        let received = match frame::read_with_fields::<Reply>(&mut reader).await {
             Ok(received) => received,
             Err(error) => break error,
         };
         last_heard.set(Some(Instant::now()));
-        peer.hear(&received.extensions);
+        peer.record_greeting(&received.extension_fields);
         if let Some(answer) = pending.borrow_mut().remove(&received.message.number) {
-            let _ = answer.send(Answer {
+            let _ = answer.send(ExtendedReply {
                 reply: received.message.content,
-                extensions: received.extensions,
+                extension_fields: received.extension_fields,
             });
         }
     };
-    frame::report_end(&address, &error);
+    frame::log_read_error(&address, &error);
     let _ = ended.send(());
 }
--- a/crates/stageyoke-store/src/relay.rs
+++ b/crates/stageyoke-store/src/directory_relay.rs
@@ -12,7 +12,7 @@
 
 use crate::client::{CallError, StoreClient};
 use crate::groups::Groups;
-use crate::message::{CopyMark, Reply, Request, SeenChange, SeenItem};
+use crate::message::{CopyFreshness, DirectoryChange, DirectoryItem, Reply, Request};
 
 /// Stores that are asked one after the other for one answer.
 const ASKED: usize = 3;
@@ -27,7 +27,7 @@
     let changes = told.changes.unwrap_or_default();
     Reply::Changes {
         known,
-        changes: changes.into_iter().map(seen_change).collect(),
+        changes: changes.into_iter().map(to_directory_change).collect(),
         mark,
     }
 }
@@ -35,7 +35,7 @@
 /// A store's answer to a question for the configuration.
 pub fn routes_reply(told: ToldRoutes) -> Reply {
     Reply::Routes {
-        item: seen_item(told.item),
+        item: to_directory_item(told.item),
         age_milliseconds: rounded_up(told.age),
     }
 }
@@ -44,13 +44,13 @@
 pub fn directory_reply(told: ToldItems) -> Reply {
     let mark = mark(told.revision, told.age, told.back_within);
     Reply::Directory {
-        items: told.items.into_iter().map(seen_item).collect(),
+        items: told.items.into_iter().map(to_directory_item).collect(),
         mark,
     }
 }
 
-fn mark(revision: u64, age: Duration, back_within: Duration) -> CopyMark {
-    CopyMark {
+fn mark(revision: u64, age: Duration, back_within: Duration) -> CopyFreshness {
+    CopyFreshness {
         revision,
         age_milliseconds: rounded_up(age),
         back_within_milliseconds: back_within.as_millis() as u32,
@@ -63,8 +63,8 @@
 }
 
 /// An item as stores keep and tell it.
-pub fn seen_item(item: Item) -> SeenItem {
-    SeenItem {
+pub fn to_directory_item(item: Item) -> DirectoryItem {
+    DirectoryItem {
         key: Text::from(item.key),
         value: Blob(item.value),
         revision: item.revision,
@@ -72,7 +72,7 @@
 }
 
 /// An item that a store told.
-pub fn told_item(seen: SeenItem) -> Item {
+pub fn from_directory_item(seen: DirectoryItem) -> Item {
     Item {
         key: seen.key.to_string(),
         value: seen.value.0,
@@ -80,14 +80,14 @@
     }
 }
 
-fn seen_change(change: Change) -> SeenChange {
+fn to_directory_change(change: Change) -> DirectoryChange {
     match change {
-        Change::Written(item) => SeenChange {
+        Change::Written(item) => DirectoryChange {
             key: Text::from(item.key),
             value: Some(Blob(item.value)),
             revision: item.revision,
         },
-        Change::Removed { key, revision } => SeenChange {
+        Change::Removed { key, revision } => DirectoryChange {
             key: Text::from(key),
             value: None,
             revision,
@@ -95,7 +95,7 @@
     }
 }
 
-fn told_change(seen: SeenChange) -> Change {
+fn from_directory_change(seen: DirectoryChange) -> Change {
     let key = seen.key.to_string();
     match seen.value {
         Some(value) => Change::Written(Item {
@@ -110,11 +110,11 @@
     }
 }
 
-fn back_within(mark: CopyMark) -> Duration {
+fn back_within(mark: CopyFreshness) -> Duration {
     Duration::from_millis(u64::from(mark.back_within_milliseconds))
 }
 
-fn age(mark: CopyMark) -> Duration {
+fn age(mark: CopyFreshness) -> Duration {
     Duration::from_millis(u64::from(mark.age_milliseconds))
 }
 
@@ -246,7 +246,7 @@
             else {
                 return None;
             };
-            let changes = changes.into_iter().map(told_change).collect();
+            let changes = changes.into_iter().map(from_directory_change).collect();
             let told = ToldChanges {
                 changes: known.then_some(changes),
                 revision: mark.revision,
@@ -274,7 +274,7 @@
                 return None;
             };
             let told = ToldRoutes {
-                item: told_item(item),
+                item: from_directory_item(item),
                 age: Duration::from_millis(u64::from(age_milliseconds)),
             };
             let sent = relayed.sent;
@@ -293,7 +293,7 @@
                 return None;
             };
             let told = ToldItems {
-                items: items.into_iter().map(told_item).collect(),
+                items: items.into_iter().map(from_directory_item).collect(),
                 revision: mark.revision,
                 age: age(mark),
                 back_within: back_within(mark),
--- a/crates/stageyoke-store/src/clock.rs
+++ b/crates/stageyoke-store/src/disk_clock.rs
@@ -13,7 +13,7 @@
 
 impl DiskClock {
     /// Goes on from the seconds that the disk tells.
-    pub fn from(base: u64) -> Self {
+    pub fn resume_from(base: u64) -> Self {
         Self {
             base,
             started: Instant::now(),
--- a/crates/stageyoke-store/src/engine_pace.rs
+++ b/crates/stageyoke-store/src/engine_pace.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 use crate::extension::Deviation;
-use crate::message::PaceEntry;
+use crate::message::LatencyEntry;
 use crate::pace::{HUNDREDTHS, Paces, UntoldPaces};
 
 /// A store tells a front of deviations so often at most: the list is some hundred bytes.
@@ -45,7 +45,7 @@
     }
 
     /// What a group has not been told yet; none where nothing is told to others.
-    pub fn untold(&self, group: GroupNumber) -> Option<List<PaceEntry>> {
+    pub fn untold(&self, group: GroupNumber) -> Option<List<LatencyEntry>> {
         self.tells.get().then(|| self.untold.take(group))
     }
 
@@ -86,7 +86,7 @@
 
 impl EngineReports {
     /// Takes what a front tells.
-    pub fn take(&self, paces: &[PaceEntry]) {
+    pub fn take(&self, paces: &[LatencyEntry]) {
         self.paces.borrow_mut().take(paces);
     }
 
--- a/crates/stageyoke-store/src/extension.rs
+++ b/crates/stageyoke-store/src/extension.rs
@@ -9,7 +9,7 @@
 use nanoserde::{DeBin, DeBinErr, SerBin};
 use stageyoke_types::{Blob, List, Text};
 
-use crate::message::PaceEntry;
+use crate::message::LatencyEntry;
 
 /// The version of a peer that tells none.
 pub const FIRST_VERSION: u16 = 1;
@@ -25,9 +25,9 @@
 const VERSION_TAG: u8 = 1;
 const RANK_LOADS_TAG: u8 = 2;
 const PROGRAM_TAG: u8 = 3;
-const BEGUN_TAG: u8 = 4;
+const STARTED_TAG: u8 = 4;
 const FRONT_TAG: u8 = 5;
-const ENGINE_PACES_TAG: u8 = 6;
+const ENGINE_LATENCIES_TAG: u8 = 6;
 const DEVIATIONS_TAG: u8 = 7;
 
 /// One field as it stands behind a message.
@@ -45,7 +45,7 @@
     /// Their rank; 0 is the most urgent.
     pub rank: u8,
     /// Turns.
-    pub under_way: u16,
+    pub in_flight: u16,
 }
 
 /// How far an engine lies from the middle of all.
@@ -59,7 +59,7 @@
 
 /// What travels behind a message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Extensions {
+pub struct ExtensionFields {
     /// The sender's version; told in the first message of a connection.
     pub version: Option<u16>,
     /// Behind an append: what this front has under way. Behind the answers to
@@ -68,16 +68,16 @@
     /// Behind a ping: has any turn of this program begun?
     pub program: Option<Text>,
     /// Behind the answer to it.
-    pub begun: Option<bool>,
+    pub started: Option<bool>,
     /// Behind a ping: the asking front's number, as in its reports.
     pub front: Option<u32>,
     /// Behind an append: times of turns at engines since the group was told last.
-    pub engine_paces: Option<List<PaceEntry>>,
+    pub engine_latencies: Option<List<LatencyEntry>>,
     /// Behind an answer: engines by what all fronts have told.
-    pub deviations: Option<List<Deviation>>,
+    pub engine_deviations: Option<List<Deviation>>,
 }
 
-impl Extensions {
+impl ExtensionFields {
     /// The greeting: this build's version.
     pub fn greeting() -> Self {
         Self {
@@ -91,10 +91,10 @@
         append(VERSION_TAG, self.version.as_ref(), output);
         append(RANK_LOADS_TAG, self.rank_loads.as_ref(), output);
         append(PROGRAM_TAG, self.program.as_ref(), output);
-        append(BEGUN_TAG, self.begun.as_ref(), output);
+        append(STARTED_TAG, self.started.as_ref(), output);
         append(FRONT_TAG, self.front.as_ref(), output);
-        append(ENGINE_PACES_TAG, self.engine_paces.as_ref(), output);
-        append(DEVIATIONS_TAG, self.deviations.as_ref(), output);
+        append(ENGINE_LATENCIES_TAG, self.engine_latencies.as_ref(), output);
+        append(DEVIATIONS_TAG, self.engine_deviations.as_ref(), output);
     }
 
     /// Reads all fields to the end; those with an unknown tag are skipped.
@@ -107,12 +107,14 @@
                 VERSION_TAG => extensions.version = Some(DeBin::deserialize_bin(content)?),
                 RANK_LOADS_TAG => extensions.rank_loads = Some(DeBin::deserialize_bin(content)?),
                 PROGRAM_TAG => extensions.program = Some(DeBin::deserialize_bin(content)?),
-                BEGUN_TAG => extensions.begun = Some(DeBin::deserialize_bin(content)?),
+                STARTED_TAG => extensions.started = Some(DeBin::deserialize_bin(content)?),
                 FRONT_TAG => extensions.front = Some(DeBin::deserialize_bin(content)?),
-                ENGINE_PACES_TAG => {
-                    extensions.engine_paces = Some(DeBin::deserialize_bin(content)?);
+                ENGINE_LATENCIES_TAG => {
+                    extensions.engine_latencies = Some(DeBin::deserialize_bin(content)?);
+                }
+                DEVIATIONS_TAG => {
+                    extensions.engine_deviations = Some(DeBin::deserialize_bin(content)?)
                 }
-                DEVIATIONS_TAG => extensions.deviations = Some(DeBin::deserialize_bin(content)?),
                 _ => {}
             }
         }
--- a/crates/stageyoke-store/src/frame.rs
+++ b/crates/stageyoke-store/src/frame.rs
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::sync::mpsc::UnboundedReceiver;
 
-use crate::extension::Extensions;
+use crate::extension::ExtensionFields;
 use crate::message::Numbered;
 
 const LENGTH_BYTES: usize = 4;
@@ -21,11 +21,11 @@
 
 /// Encodes one message as a frame.
 pub fn encode<T: SerBin>(message: &T) -> Vec<u8> {
-    encode_extended(message, &Extensions::default())
+    encode_with_fields(message, &ExtensionFields::default())
 }
 
 /// Encodes one message as a frame, with fields behind it.
-pub fn encode_extended<T: SerBin>(message: &T, extensions: &Extensions) -> Vec<u8> {
+pub fn encode_with_fields<T: SerBin>(message: &T, extensions: &ExtensionFields) -> Vec<u8> {
     let mut bytes = vec![0_u8; LENGTH_BYTES];
     message.ser_bin(&mut bytes);
     extensions.encode(&mut bytes);
@@ -40,16 +40,16 @@
 
 /// A message's content, encoded once for several connections.
 #[derive(Clone, Debug)]
-pub struct Encoded(Rc<[u8]>);
+pub struct EncodedMessage(Rc<[u8]>);
 
-impl Encoded {
+impl EncodedMessage {
     /// Encodes the content.
-    pub fn of<T: SerBin>(content: &T) -> Self {
+    pub fn encode<T: SerBin>(content: &T) -> Self {
         Self(content.serialize_bin().into())
     }
 
     /// The frame of this content under a number, with fields behind it.
-    pub fn frame(&self, number: u64, extensions: &Extensions) -> Vec<u8> {
+    pub fn frame(&self, number: u64, extensions: &ExtensionFields) -> Vec<u8> {
         let message = LENGTH_BYTES + size_of::<u64>() + self.0.len();
         let mut bytes = Vec::with_capacity(message + FIELDS_ROOM);
         bytes.extend_from_slice(&[0; LENGTH_BYTES]);
@@ -67,12 +67,12 @@
     /// The message.
     pub message: Numbered<T>,
     /// What travelled behind it.
-    pub extensions: Extensions,
+    pub extension_fields: ExtensionFields,
 }
 
 /// Writes what waits, all of it in one go. What holds a frame's bytes is dropped
 /// once they are written.
-pub async fn write_waiting<T: AsRef<[u8]>>(
+pub async fn write_queued_frames<T: AsRef<[u8]>>(
     mut writer: impl AsyncWrite + Unpin,
     mut outbox: UnboundedReceiver<T>,
 ) -> io::Result<()> {
@@ -99,16 +99,16 @@
 }
 
 /// Reads one frame with the fields behind its message.
-pub async fn read_extended<T: DeBin>(
+pub async fn read_with_fields<T: DeBin>(
     stream: &mut (impl AsyncRead + Unpin),
 ) -> io::Result<Received<T>> {
     let content = read_content(stream).await?;
     let mut offset = 0;
     let message = Numbered::de_bin(&mut offset, &content).map_err(|_| malformed())?;
-    let extensions = Extensions::decode(offset, &content).map_err(|_| malformed())?;
+    let extensions = ExtensionFields::decode(offset, &content).map_err(|_| malformed())?;
     Ok(Received {
         message,
-        extensions,
+        extension_fields: extensions,
     })
 }
 
@@ -132,7 +132,7 @@
 }
 
 /// Says why a connection with a peer ends, if what came from it could not be read.
-pub fn report_end(peer: &str, error: &io::Error) {
+pub fn log_read_error(peer: &str, error: &io::Error) {
     if error.kind() == io::ErrorKind::InvalidData {
         let detail = format!("peer={peer} reason={error}");
         observe::event(Event::PeerRefused, &detail);
--- a/crates/stageyoke-store/src/group.rs
+++ b/crates/stageyoke-store/src/group.rs
@@ -12,9 +12,9 @@
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::time::Instant;
 
-use crate::client::{Answer, CallError, StoreClient};
-use crate::extension::Extensions;
-use crate::frame::Encoded;
+use crate::client::{CallError, ExtendedReply, StoreClient};
+use crate::extension::ExtensionFields;
+use crate::frame::EncodedMessage;
 use crate::load::LoadBoard;
 use crate::message::{ChainPart, Placement, Record, Reply, Request};
 use crate::quorum::{AppendTally, ChainStep, ChainTally, LedgerView};
@@ -225,17 +225,17 @@
         let mut tally = AppendTally::new(&members, &self.shared.tolerance, reads_ledger)?;
         let sent = Instant::now();
         let (answers, mut inbox) = unbounded_channel();
-        let request = Encoded::of(&Request::Append {
+        let request = EncodedMessage::encode(&Request::Append {
             group: self.number,
             members_version: members.version,
             load: self.shared.load.report(self.number),
             placement,
             record,
         });
-        let extensions = Rc::new(Extensions {
+        let extensions = Rc::new(ExtensionFields {
             rank_loads: self.shared.load.ranks.told(),
-            engine_paces: self.shared.load.engines.untold(self.number),
-            ..Extensions::default()
+            engine_latencies: self.shared.load.engines.untold(self.number),
+            ..ExtensionFields::default()
         });
         for member in members.all() {
             let Some(client) = self.client(&member.node) else {
@@ -269,10 +269,12 @@
     }
 
     /// Takes what comes along with an answer.
-    fn hear(&self, answer: &mut Answer, reads_ledger: bool, sent: Instant) {
-        self.hear_fields(&answer.extensions);
-        let Reply::Kept {
-            others, directory, ..
+    fn hear(&self, answer: &mut ExtendedReply, reads_ledger: bool, sent: Instant) {
+        self.hear_fields(&answer.extension_fields);
+        let Reply::Stored {
+            other_fronts: others,
+            directory,
+            ..
         } = &mut answer.reply
         else {
             return;
@@ -285,11 +287,11 @@
         }
     }
 
-    fn hear_fields(&self, extensions: &Extensions) {
+    fn hear_fields(&self, extensions: &ExtensionFields) {
         if let Some(rank_loads) = &extensions.rank_loads {
             self.shared.load.ranks.hear(rank_loads);
         }
-        if let Some(deviations) = &extensions.deviations {
+        if let Some(deviations) = &extensions.engine_deviations {
             self.shared.load.engines.hear(deviations);
         }
     }
@@ -300,10 +302,10 @@
         let members = self.members();
         let mut order: Vec<&Member> = members.all().collect();
         order.sort_by_cached_key(|member| (member.zone != self.shared.zone, rand::random::<u32>()));
-        let extensions = Rc::new(Extensions {
+        let extensions = Rc::new(ExtensionFields {
             program: Some(program.clone()),
             front: Some(self.shared.load.front()),
-            ..Extensions::default()
+            ..ExtensionFields::default()
         });
         let (answers, mut inbox) = unbounded_channel();
         for member in order.into_iter().take(ASKED_OF_BEGINNINGS) {
@@ -312,9 +314,9 @@
             };
             let (extensions, answers) = (extensions.clone(), answers.clone());
             tokio::task::spawn_local(async move {
-                let ping = Encoded::of(&Request::Ping);
-                let called = client.call_extended(ping, extensions, within).await;
-                let _ = answers.send(called.ok().map(|answer| answer.extensions));
+                let ping = EncodedMessage::encode(&Request::Ping);
+                let called = client.call_with_fields(ping, extensions, within).await;
+                let _ = answers.send(called.ok().map(|answer| answer.extension_fields));
             });
         }
         drop(answers);
@@ -322,17 +324,17 @@
         while let Some(answer) = inbox.recv().await {
             let answer = answer.unwrap_or_default();
             self.hear_fields(&answer);
-            if answer.begun == Some(true) {
-                return answer.begun;
+            if answer.started == Some(true) {
+                return answer.started;
             }
-            told = told.or(answer.begun);
+            told = told.or(answer.started);
         }
         told
     }
 
     /// Tells all members something that is only a hint, without waiting.
     pub fn tell(&self, request: &Request, within: Duration) {
-        let request = Encoded::of(request);
+        let request = EncodedMessage::encode(request);
         for member in self.members().all() {
             let Some(client) = self.client(&member.node) else {
                 continue;
@@ -441,14 +443,14 @@
 /// digests, so that a second copy does no harm.
 async fn call_until(
     client: &StoreClient,
-    request: Encoded,
-    extensions: Rc<Extensions>,
+    request: EncodedMessage,
+    extensions: Rc<ExtensionFields>,
     within: Duration,
-) -> Result<Answer, CallError> {
+) -> Result<ExtendedReply, CallError> {
     let deadline = Instant::now() + within;
     loop {
         let left = deadline.saturating_duration_since(Instant::now());
-        let called = client.call_extended(request.clone(), extensions.clone(), left);
+        let called = client.call_with_fields(request.clone(), extensions.clone(), left);
         let error = match called.await {
             Ok(answer) => return Ok(answer),
             Err(error) => error,
--- a/crates/stageyoke-store/src/groups.rs
+++ b/crates/stageyoke-store/src/groups.rs
@@ -231,7 +231,7 @@
     /// Tells a program's group that its turn runs there after all.
     pub fn tell_placed(&self, program: &str, turn: &str, placement: Placement) {
         let TurnKey(key) = TurnKey::of(turn);
-        let request = Request::Placed {
+        let request = Request::TurnPlaced {
             turn: key,
             placement,
         };
@@ -241,7 +241,7 @@
     /// Tells a program's group that its turn is over.
     pub fn tell_ended(&self, program: &str, turn: &str) {
         let TurnKey(key) = TurnKey::of(turn);
-        self.tell(program, turn, &Request::Ended { turn: key });
+        self.tell(program, turn, &Request::TurnEnded { turn: key });
     }
 
     fn tell(&self, program: &str, turn: &str, request: &Request) {
--- a/crates/stageyoke-store/src/journal.rs
+++ b/crates/stageyoke-store/src/journal.rs
@@ -14,10 +14,10 @@
 use stageyoke_observe as observe;
 use stageyoke_types::{Event, List};
 
-use crate::clock::DiskClock;
 use crate::completeness::Completeness;
-use crate::message::{Record, SeenItem};
-use crate::segment::{DataFolder, Place, encode_clock, encode_record};
+use crate::disk_clock::DiskClock;
+use crate::message::{DirectoryItem, Record};
+use crate::segment::{DataFolder, RecordLocation, encode_clock, encode_record};
 
 /// A segment is closed beyond this size, where the settings name no other.
 pub const DEFAULT_SEGMENT_BYTES: u64 = 4 * 1024 * 1024;
@@ -29,18 +29,18 @@
 
 /// An append's result.
 #[derive(Debug)]
-pub struct Appended {
+pub struct AppendResult {
     /// Ticket that the caller gave.
     pub ticket: u64,
     /// Where the record lies, or `None` if the disk refused it.
-    pub place: Option<Place>,
+    pub location: Option<RecordLocation>,
 }
 
 enum Command {
     Append { ticket: u64, bytes: Vec<u8> },
     Remove { segment: u64 },
     Stores(StoreGroups),
-    Items(List<SeenItem>),
+    Items(List<DirectoryItem>),
     Complete(Completeness),
 }
 
@@ -59,7 +59,7 @@
         next_segment: u64,
         segment_bytes: u64,
         clock: DiskClock,
-    ) -> io::Result<(Self, UnboundedReceiver<Vec<Appended>>)> {
+    ) -> io::Result<(Self, UnboundedReceiver<Vec<AppendResult>>)> {
         let (commands, inbox) = mpsc::channel();
         let (results, outbox) = unbounded_channel();
         let stores_saved = Arc::new(AtomicU64::new(0));
@@ -100,7 +100,7 @@
 
     /// The newest version of the store groups that this life of the process has put on
     /// the disk.
-    pub fn stores_saved(&self) -> u64 {
+    pub fn saved_stores_version(&self) -> u64 {
         self.stores_saved.load(Ordering::Acquire)
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// Keeps the items of the key-value service.
-    pub fn save_items(&self, items: List<SeenItem>) {
+    pub fn save_items(&self, items: List<DirectoryItem>) {
         let _ = self.commands.send(Command::Items(items));
     }
 
@@ -140,7 +140,7 @@
     segment_bytes: u64,
     clock: DiskClock,
     current: Option<Segment>,
-    results: UnboundedSender<Vec<Appended>>,
+    results: UnboundedSender<Vec<AppendResult>>,
 }
 
 impl Writer {
@@ -200,9 +200,9 @@
         let mut next = written;
         let appended = entries
             .iter()
-            .map(|entry| Appended {
+            .map(|entry| AppendResult {
                 ticket: entry.ticket,
-                place: next.as_mut().map(|next| next.take(entry.length)),
+                location: next.as_mut().map(|next| next.take(entry.length)),
             })
             .collect();
         let _ = self.results.send(appended);
@@ -257,8 +257,8 @@
 }
 
 impl NextPlace {
-    fn take(&mut self, length: usize) -> Place {
-        let place = Place {
+    fn take(&mut self, length: usize) -> RecordLocation {
+        let place = RecordLocation {
             segment: self.segment,
             offset: self.offset,
             length: length as u32,
--- a/crates/stageyoke-store/src/lib.rs
+++ b/crates/stageyoke-store/src/lib.rs
@@ -8,8 +8,9 @@
 //! one sees the other. Members compare digests and fetch what they miss.
 
 pub mod client;
-pub mod clock;
 pub mod completeness;
+pub mod directory_relay;
+pub mod disk_clock;
 pub mod engine_pace;
 pub mod exchange;
 pub mod extension;
@@ -19,10 +20,10 @@
 pub mod groups;
 pub mod healing;
 pub mod journal;
-pub mod keeper;
 pub mod keys;
 pub mod limits;
 pub mod load;
+pub mod local_store;
 pub mod membership;
 pub mod message;
 pub mod owners;
@@ -30,16 +31,15 @@
 pub mod peer_version;
 pub mod quorum;
 pub mod rank_load;
-pub mod reader;
 pub mod recent;
-pub mod relay;
-pub mod role;
+pub mod record_reader;
 pub mod segment;
 pub mod server;
 pub mod socket;
 pub mod spare;
 pub mod standing;
 pub mod state;
+pub mod store_host;
 pub mod sync;
 pub mod waiting;
 
@@ -51,4 +51,4 @@
 pub use message::{LedgerEntry, Record, Reply, Request, TurnRecord};
 pub use quorum::LedgerView;
 pub use recent::RecentTurns;
-pub use role::{StoreHost, StoreSettings};
+pub use store_host::{StoreHost, StoreSettings};
--- a/crates/stageyoke-store/src/load.rs
+++ b/crates/stageyoke-store/src/load.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 use crate::engine_pace::{EngineBoard, EngineReports};
-use crate::message::{LoadEntry, LoadReport, OthersReport, Placement, Suspicion};
+use crate::message::{LoadEntry, LoadReport, OtherFrontsReport, Placement, Suspicion};
 use crate::pace::{HeardPaces, Paces, UntoldPaces};
 use crate::rank_load::{RankBoard, RankReports};
 
@@ -129,7 +129,7 @@
             .iter()
             .map(|(replica, under_way)| LoadEntry {
                 replica: *replica,
-                under_way: *under_way,
+                in_flight: *under_way,
             })
             .collect();
         keep_busiest(&mut entries);
@@ -139,21 +139,21 @@
             front: self.front,
             entries: List(entries),
             suspects: suspects.keys().copied().take(MAX_SUSPECTS).collect(),
-            paces: self.untold_paces.take(group),
+            latencies: self.untold_paces.take(group),
         }
     }
 
     /// Takes what a store of this group knows of all other fronts.
-    pub fn hear(&self, group: GroupNumber, others: OthersReport) {
-        self.heard_paces.hear(&others.slow);
-        let counts = others.placed.iter();
-        let counts = counts.map(|entry| (entry.replica, entry.under_way));
+    pub fn hear(&self, group: GroupNumber, others: OtherFrontsReport) {
+        self.heard_paces.hear(&others.slow_replicas);
+        let counts = others.placed_turns.iter();
+        let counts = counts.map(|entry| (entry.replica, entry.in_flight));
         let placed = Placed {
             counts: counts.collect(),
             at: Instant::now(),
         };
         self.placed.borrow_mut().insert(group, placed);
-        let load = |entry: LoadEntry| (entry.replica, entry.under_way);
+        let load = |entry: LoadEntry| (entry.replica, entry.in_flight);
         let suspicion = |entry: Suspicion| (entry.replica, entry.fronts);
         *self.others.borrow_mut() = Heard {
             under_way: others.entries.into_iter().map(load).collect(),
@@ -221,7 +221,7 @@
 impl LoadReports {
     /// Takes a front's report in place of its former one.
     pub fn take(&self, report: LoadReport) {
-        self.paces.borrow_mut().take(&report.paces);
+        self.paces.borrow_mut().take(&report.latencies);
         let heard = (report, Instant::now());
         self.fronts.borrow_mut().insert(heard.0.front, heard);
     }
@@ -233,7 +233,7 @@
 
     /// What all fronts but one have seen, for the busiest replicas and those
     /// that most fronts report as failing.
-    pub fn of_others(&self, front: u32) -> OthersReport {
+    pub fn of_others(&self, front: u32) -> OtherFrontsReport {
         let mut fronts = self.fronts.borrow_mut();
         fronts.retain(|_, (_, heard)| heard.elapsed() < SUSPICION_LIFE);
         let mut under_way: HashMap<u32, u16> = HashMap::new();
@@ -248,19 +248,22 @@
             }
             for entry in report.entries.iter() {
                 let sum = under_way.entry(entry.replica).or_default();
-                *sum = sum.saturating_add(entry.under_way);
+                *sum = sum.saturating_add(entry.in_flight);
             }
         }
         let mut entries: Vec<LoadEntry> = under_way
             .into_iter()
-            .map(|(replica, under_way)| LoadEntry { replica, under_way })
+            .map(|(replica, under_way)| LoadEntry {
+                replica,
+                in_flight: under_way,
+            })
             .collect();
         keep_busiest(&mut entries);
-        OthersReport {
+        OtherFrontsReport {
             entries: List(entries),
             suspects: most_suspected(suspecting),
-            placed: List::default(),
-            slow: self.paces.borrow_mut().slow(),
+            placed_turns: List::default(),
+            slow_replicas: self.paces.borrow_mut().slow(),
         }
     }
 }
@@ -278,7 +281,7 @@
 /// Messages stay small with thousands of replicas: only the busiest matter.
 fn keep_busiest(entries: &mut Vec<LoadEntry>) {
     if entries.len() > MAX_ENTRIES {
-        entries.sort_by_key(|entry| std::cmp::Reverse(entry.under_way));
+        entries.sort_by_key(|entry| std::cmp::Reverse(entry.in_flight));
         entries.truncate(MAX_ENTRIES);
     }
 }
@@ -306,7 +309,7 @@
         if self.turns.len() >= MOST_PLACED {
             return;
         }
-        let lasting = Duration::from_millis(u64::from(placement.lasting_milliseconds));
+        let lasting = Duration::from_millis(u64::from(placement.max_duration_milliseconds));
         let running = RunningTurn {
             replica: placement.replica,
             until: Instant::now() + lasting,
@@ -337,9 +340,9 @@
         let own = self.turns.get(&turn).map(|running| running.replica);
         let entries = self.counts.iter().map(|(replica, count)| LoadEntry {
             replica: *replica,
-            under_way: count - u16::from(own == Some(*replica)),
+            in_flight: count - u16::from(own == Some(*replica)),
         });
-        entries.filter(|entry| entry.under_way > 0).collect()
+        entries.filter(|entry| entry.in_flight > 0).collect()
     }
 
     /// Turns that are counted.
--- a/crates/stageyoke-store/src/keeper.rs
+++ b/crates/stageyoke-store/src/local_store.rs
@@ -1,7 +1,7 @@
 //! A store's state with its journal, shared by the tasks of the process.
 
-mod answers;
-mod heard;
+mod peer_reports;
+mod requests;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -18,19 +18,19 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-pub use self::answers::AnswerFields;
-use self::heard::Heard;
-pub use self::heard::SilentSince;
-use crate::clock::DiskClock;
+use self::peer_reports::Heard;
+pub use self::peer_reports::SilentSince;
+pub use self::requests::RequestedFields;
 use crate::completeness::Completeness;
-use crate::journal::{Appended, Journal};
+use crate::disk_clock::DiskClock;
+use crate::journal::{AppendResult, Journal};
 use crate::limits::StoreLimits;
 use crate::load::{LoadReports, PlacedTurns};
-use crate::message::{JournalPosition, Record, RecordDigest, Refusal, SeenItem};
-use crate::reader::RecordReader;
-use crate::segment::{DataFolder, Recovered, SegmentUse};
+use crate::message::{DirectoryItem, JournalPosition, Record, RecordDigest, Refusal};
+use crate::record_reader::RecordReader;
+use crate::segment::{DataFolder, Recovered, SegmentUsage};
 use crate::standing::Standing;
-use crate::state::State;
+use crate::state::StoreState;
 
 /// A record on its way to the disk, and who waits for it.
 struct Submitted {
@@ -40,11 +40,11 @@
 }
 
 /// A store's state with its journal; shared by the tasks of the process.
-pub struct Keeper {
+pub struct LocalStore {
     /// Machine name of this store.
     pub node: Text,
     disk: u64,
-    state: RefCell<State>,
+    state: RefCell<StoreState>,
     limits: StoreLimits,
     journal: Journal,
     reader: RecordReader,
@@ -53,7 +53,7 @@
     expiring: Cell<bool>,
     submitted: RefCell<HashMap<u64, Submitted>>,
     tickets: RefCell<HashMap<RecordDigest, u64>>,
-    segments: RefCell<VecDeque<SegmentUse>>,
+    segments: RefCell<VecDeque<SegmentUsage>>,
     next_ticket: Cell<u64>,
     disk_refuses: Cell<bool>,
     standing: RefCell<Standing>,
@@ -61,7 +61,7 @@
     stores_recovered: u64,
     heard: Heard,
     members_since: Cell<Instant>,
-    items: RefCell<List<SeenItem>>,
+    items: RefCell<List<DirectoryItem>>,
     loads: LoadReports,
     placed: RefCell<PlacedTurns>,
     quotas: RefCell<QuotaLedger>,
@@ -73,7 +73,7 @@
     source: RefCell<Option<Rc<dyn DirectorySource>>>,
 }
 
-impl Keeper {
+impl LocalStore {
     /// Goes on from what a start found; the second part are the journal's
     /// results, to be given to `collect`.
     pub fn open(
@@ -81,17 +81,17 @@
         folder: DataFolder,
         recovered: Recovered,
         limits: StoreLimits,
-    ) -> io::Result<(Self, UnboundedReceiver<Vec<Appended>>)> {
-        let clock = DiskClock::from(recovered.clock);
+    ) -> io::Result<(Self, UnboundedReceiver<Vec<AppendResult>>)> {
+        let clock = DiskClock::resume_from(recovered.clock);
         let reader = RecordReader::start(folder.clone())?;
         let next_segment = recovered.next_segment();
         let (journal, results) = Journal::start(folder, next_segment, limits.segment_bytes, clock)?;
         let mut state = recovered.state;
-        state.keep_recent(limits.recent_bytes);
+        state.set_recent_bytes(limits.recent_bytes);
         let stores = recovered.stores.unwrap_or_default();
         let stores_recovered = stores.version;
         let standing = Standing::new(node.clone(), stores, recovered.completeness);
-        let keeper = Self {
+        let local_store = Self {
             node,
             disk: recovered.disk,
             state: RefCell::new(state),
@@ -120,11 +120,11 @@
             directory: Rc::new(Freshness::new(AgeLimits::default(), false)),
             source: RefCell::default(),
         };
-        Ok((keeper, results))
+        Ok((local_store, results))
     }
 
     /// The same, where the operator tolerates so much beyond tenants' limits.
-    pub fn tolerating(self, tolerance: QuotaTolerance) -> Self {
+    pub fn with_quota_tolerance(self, tolerance: QuotaTolerance) -> Self {
         let quotas = self.quotas.take().tolerating(tolerance);
         let quotas = quotas.living(rand::random());
         self.quotas.replace(quotas);
@@ -132,7 +132,7 @@
     }
 
     /// The same store, telling fronts how fresh this directory is.
-    pub fn following(self, directory: Rc<Freshness>) -> Self {
+    pub fn with_directory_freshness(self, directory: Rc<Freshness>) -> Self {
         Self { directory, ..self }
     }
 
@@ -143,7 +143,7 @@
 
     /// Whether the list that this store goes by names its disk, if it names the store. By
     /// an older one answers of a disk that was lost may still be counted.
-    pub fn is_listed_with_disk(&self) -> bool {
+    pub fn is_listed_with_current_disk(&self) -> bool {
         let members = self.members();
         let own = members.get(&self.node);
         own.is_none_or(|own| own.disk == self.disk)
@@ -151,26 +151,29 @@
 
     /// Whether the store groups in use are on the disk, so that a list that was told to
     /// a peer is not forgotten: the fence of a change counts on it.
-    pub fn stores_saved(&self) -> bool {
-        let saved = self.journal.stores_saved().max(self.stores_recovered);
+    pub fn has_saved_stores(&self) -> bool {
+        let saved = self
+            .journal
+            .saved_stores_version()
+            .max(self.stores_recovered);
         saved >= self.stores().version
     }
 
     /// Puts the store groups on the disk if it refused them before.
-    pub fn save_stores_again(&self) {
-        if !self.stores_saved() {
+    pub fn retry_saving_stores(&self) {
+        if !self.has_saved_stores() {
             self.journal.save_stores(&self.stores());
         }
     }
 
     /// Whether this store holds everything that it ever acknowledged as a
     /// member of its group; before there are groups, of any.
-    pub fn complete(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.standing.borrow().complete()
     }
 
     /// Declares the store complete for its group, for this life and the next.
-    pub fn set_complete(&self) {
+    pub fn declare_complete(&self) {
         let mark = self.standing.borrow_mut().declare_complete();
         self.mark_complete(mark);
     }
@@ -202,7 +205,7 @@
     }
 
     /// These stores have registered.
-    pub fn set_registered(&self, addresses: List<Text>) {
+    pub fn set_registered_addresses(&self, addresses: List<Text>) {
         self.registered.replace(addresses);
     }
 
@@ -219,7 +222,7 @@
     }
 
     /// A store that is no member of any group fills up for this one.
-    pub fn fill_up_for(&self, group: Option<GroupNumber>) {
+    pub fn backfill_for(&self, group: Option<GroupNumber>) {
         let before = self.members();
         self.standing.borrow_mut().fill_up_for(group);
         self.follow_members(&before);
@@ -239,7 +242,7 @@
 
     /// Takes the items of the key-value service, to hand them to fronts that
     /// start while it is down; `keep` also puts them on the disk.
-    pub fn set_items(&self, items: List<SeenItem>, keep: bool) {
+    pub fn set_directory_items(&self, items: List<DirectoryItem>, keep: bool) {
         if keep && items != *self.items.borrow() {
             self.journal.save_items(items.clone());
         }
@@ -248,18 +251,18 @@
 
     /// Another store told how fresh its directory is, in answer to a message
     /// that was sent at `sent`.
-    pub fn hear_directory(&self, mark: DirectoryMark, sent: Instant) {
+    pub fn apply_directory_mark(&self, mark: DirectoryMark, sent: Instant) {
         self.directory.hear(mark, sent);
     }
 
     /// The directory that this store tells others of.
-    pub fn telling(&self, source: Rc<dyn DirectorySource>) {
+    pub fn set_directory_source(&self, source: Rc<dyn DirectorySource>) {
         *self.source.borrow_mut() = Some(source);
     }
 
     /// Position at the end of the journal.
-    pub fn end(&self) -> JournalPosition {
-        self.state.borrow().end()
+    pub fn journal_end(&self) -> JournalPosition {
+        self.state.borrow().journal_end()
     }
 
     /// Up to where a peer holds this journal on its own disk.
@@ -279,7 +282,7 @@
     /// Writes a record unless it is held or on its way: callers repeat what a
     /// slow disk has not answered yet. True once it is on the disk; false also
     /// where the memory takes no more.
-    pub async fn keep(&self, record: Record) -> bool {
+    pub async fn store_record(&self, record: Record) -> bool {
         let digest = record.digest();
         if self.holds(digest) {
             return true;
@@ -297,13 +300,13 @@
     }
 
     /// Estimated bytes of memory of the index and of the newest turns.
-    pub fn memory(&self) -> usize {
-        self.state.borrow().memory()
+    pub fn memory_bytes(&self) -> usize {
+        self.state.borrow().memory_bytes()
     }
 
     /// Why nothing more is taken where the index may have so many bytes.
     fn no_room_below(&self, state_bytes: usize) -> Option<Refusal> {
-        if self.memory() >= state_bytes {
+        if self.memory_bytes() >= state_bytes {
             return Some(Refusal::MemoryFull);
         }
         let backlog_is_full = self.waiting_bytes.get() >= self.limits.backlog_bytes;
@@ -311,7 +314,7 @@
     }
 
     /// Records on their way to the disk.
-    pub fn under_way(&self) -> usize {
+    pub fn in_flight_records(&self) -> usize {
         self.submitted.borrow().len()
     }
 
@@ -331,7 +334,7 @@
     }
 
     /// Takes the journal's results for ever.
-    pub async fn collect(&self, mut results: UnboundedReceiver<Vec<Appended>>) {
+    pub async fn process_journal_results(&self, mut results: UnboundedReceiver<Vec<AppendResult>>) {
         while let Some(batch) = results.recv().await {
             let now = self.clock.seconds();
             for appended in batch {
@@ -339,17 +342,17 @@
                 self.finish(&appended, now);
             }
             let metrics = observe::metrics();
-            metrics.records.set(self.end().next as i64);
-            metrics.complete.set(i64::from(self.complete()));
+            metrics.records.set(self.journal_end().next as i64);
+            metrics.complete.set(i64::from(self.is_complete()));
             let state = self.state.borrow();
-            metrics.turn_bytes.set(state.turn_bytes() as i64);
-            let entries = state.ledger_entries_held();
+            metrics.turn_bytes.set(state.cached_turn_bytes() as i64);
+            let entries = state.ledger_entry_count();
             metrics.ledger_entries.set(entries as i64);
         }
     }
 
-    fn tell_of_disk(&self, appended: &Appended) {
-        let refuses = appended.place.is_none();
+    fn tell_of_disk(&self, appended: &AppendResult) {
+        let refuses = appended.location.is_none();
         if self.disk_refuses.replace(refuses) == refuses {
             return;
         }
@@ -359,7 +362,7 @@
         }
     }
 
-    fn finish(&self, appended: &Appended, now: u64) {
+    fn finish(&self, appended: &AppendResult, now: u64) {
         let Some(submitted) = self.submitted.borrow_mut().remove(&appended.ticket) else {
             return;
         };
@@ -367,12 +370,12 @@
         self.tickets.borrow_mut().remove(&digest);
         let waiting_bytes = self.waiting_bytes.get() - submitted.bytes;
         self.waiting_bytes.set(waiting_bytes);
-        if let Some(place) = appended.place {
+        if let Some(place) = appended.location {
             self.state.borrow_mut().add(&submitted.record, place, now);
             self.count_in_segment(u64::from(place.segment), now);
         }
         for waiting in submitted.waiting {
-            let _ = waiting.send(appended.place.is_some());
+            let _ = waiting.send(appended.location.is_some());
         }
     }
 
@@ -383,7 +386,7 @@
                 segment.records += 1;
                 segment.last_write = now;
             }
-            _ => segments.push_back(SegmentUse {
+            _ => segments.push_back(SegmentUsage {
                 number,
                 records: 1,
                 last_write: now,
@@ -393,7 +396,7 @@
 
     /// Forgets what is past its time, one segment after the other. Called
     /// regularly: a store that takes nothing new must forget all the same.
-    pub async fn expire(&self) {
+    pub async fn expire_segments(&self) {
         if self.expiring.replace(true) {
             return;
         }
@@ -420,14 +423,14 @@
     }
 
     /// The oldest segment, if it is past its time and not the newest.
-    fn expired_segment(&self) -> Option<SegmentUse> {
+    fn expired_segment(&self) -> Option<SegmentUsage> {
         let segments = self.segments.borrow();
         let oldest = segments.front().filter(|_| segments.len() > 1)?;
-        let kept_until = oldest.last_write + self.state.borrow().longest_keep();
+        let kept_until = oldest.last_write + self.state.borrow().max_retention_seconds();
         (kept_until <= self.clock.seconds()).then_some(*oldest)
     }
 
-    fn forget(&self, segment: SegmentUse, records: Vec<Record>) {
+    fn forget(&self, segment: SegmentUsage, records: Vec<Record>) {
         self.segments.borrow_mut().pop_front();
         let now = self.clock.seconds();
         let again = self.state.borrow_mut().expire(records, now);
--- a/crates/stageyoke-store/src/keeper/heard.rs
+++ b/crates/stageyoke-store/src/local_store/peer_reports.rs
@@ -10,7 +10,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use super::Keeper;
+use super::LocalStore;
 use crate::message::SilentPeer;
 
 /// What was heard.
@@ -45,7 +45,7 @@
     }
 }
 
-impl Keeper {
+impl LocalStore {
     /// Notes who compares with this store as a member, or as one that is to become one.
     pub(super) fn note_asker(&self, group: GroupNumber, node: &Text) {
         let own_group = self.group() == Some(group);
@@ -55,7 +55,7 @@
     }
 
     /// How long ago a store that is no member of the group compared with this one.
-    pub fn spare_heard(&self) -> Option<Duration> {
+    pub fn elapsed_since_spare_request(&self) -> Option<Duration> {
         self.heard.spare_at.get().map(|at| at.elapsed())
     }
 
@@ -70,7 +70,7 @@
     }
 
     /// Newer store groups that another store told of.
-    pub fn take_heard_stores(&self) -> Option<StoreGroups> {
+    pub fn take_reported_stores(&self) -> Option<StoreGroups> {
         self.heard.stores.take()
     }
 
@@ -87,7 +87,7 @@
 
     /// A caller went by a newer list of the group: it is worth a read of the service.
     /// A change waits for the members that have not heard of it.
-    pub async fn newer_list_heard(&self) {
+    pub async fn wait_for_newer_member_list(&self) {
         self.heard.newer_list.notified().await;
     }
 
--- a/crates/stageyoke-store/src/keeper/answers.rs
+++ b/crates/stageyoke-store/src/local_store/requests.rs
@@ -6,16 +6,16 @@
 use stageyoke_policy::quota::Verdict;
 use stageyoke_types::{List, Text};
 
-use super::Keeper;
-use crate::extension::Extensions;
+use super::LocalStore;
+use crate::directory_relay;
+use crate::extension::ExtensionFields;
 use crate::keys::TurnKey;
 use crate::message::{
-    ChainPart, JournalPosition, OthersReport, Placement, QuotaAnswer, QuotaQuestion, Record,
+    ChainPart, JournalPosition, OtherFrontsReport, Placement, QuotaReply, QuotaRequest, Record,
     RecordDigest, Refusal, Reply, Request, TurnRecord,
 };
-use crate::relay;
 use crate::standing::PeerStanding;
-use crate::state::ChainStep;
+use crate::state::ChainLink;
 
 /// Time for a read of the configuration on behalf of fronts: a connection that
 /// owes an answer for twice as long is given up (`client`).
@@ -24,7 +24,7 @@
 /// What an answer is to bring behind it. Requests wait by the hundred while a disk does:
 /// only this of their fields is held meanwhile.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct AnswerFields {
+pub struct RequestedFields {
     /// The front that is told what all others have under way.
     ranks_for: Option<u32>,
     /// The front that is told how long engines take.
@@ -33,11 +33,15 @@
     begun: Option<bool>,
 }
 
-impl Keeper {
+impl LocalStore {
     /// Takes the fields behind a request, and tells what its answer is to bring.
-    pub fn hear_fields(&self, request: &Request, fields: Extensions) -> AnswerFields {
-        let tells_paces = fields.engine_paces.is_some();
-        if let Some(paces) = &fields.engine_paces {
+    pub fn apply_request_fields(
+        &self,
+        request: &Request,
+        fields: ExtensionFields,
+    ) -> RequestedFields {
+        let tells_paces = fields.engine_latencies.is_some();
+        if let Some(paces) = &fields.engine_latencies {
             self.loads.engines.take(paces);
         }
         let tells_ranks = fields.rank_loads.is_some() || fields.program.is_some();
@@ -50,7 +54,7 @@
             }
             _ => fields.front,
         };
-        AnswerFields {
+        RequestedFields {
             ranks_for: front.filter(|_| tells_ranks),
             paces_for: front.filter(|_| tells_paces),
             begun: fields.program.map(|program| self.has_begun(&program)),
@@ -64,19 +68,19 @@
     }
 
     /// The fields behind an answer.
-    pub fn fields_behind(&self, answer: AnswerFields) -> Extensions {
+    pub fn reply_fields(&self, answer: RequestedFields) -> ExtensionFields {
         let ranks = answer.ranks_for;
         let paces = answer.paces_for;
-        Extensions {
+        ExtensionFields {
             rank_loads: ranks.map(|front| self.loads.ranks.of_others(front)),
-            deviations: paces.and_then(|front| self.loads.engines.deviations(front)),
-            begun: answer.begun,
-            ..Extensions::default()
+            engine_deviations: paces.and_then(|front| self.loads.engines.deviations(front)),
+            started: answer.begun,
+            ..ExtensionFields::default()
         }
     }
 
     /// Answers one request.
-    pub async fn answer(&self, request: Request) -> Reply {
+    pub async fn handle_request(&self, request: Request) -> Reply {
         match request {
             Request::Append {
                 group,
@@ -90,11 +94,11 @@
                 self.count_turn(&record, placement);
                 self.append(group, members_version, front, record).await
             }
-            Request::Placed { turn, placement } => {
+            Request::TurnPlaced { turn, placement } => {
                 self.placed.borrow_mut().begin(turn, placement);
                 Reply::Pong
             }
-            Request::Ended { turn } => {
+            Request::TurnEnded { turn } => {
                 self.placed.borrow_mut().end(turn);
                 Reply::Pong
             }
@@ -120,13 +124,13 @@
                 self.count_granted(question);
                 Reply::Pong
             }
-            Request::QuotaReturned { tenant, receipt } => {
+            Request::QuotaRefund { tenant, receipt } => {
                 let now = self.started.elapsed();
                 let mut quotas = self.quotas.borrow_mut();
                 quotas.take_back(tenant, receipt.into(), now);
                 Reply::Pong
             }
-            Request::NewerStores(stores) => {
+            Request::NewerStoreGroups(stores) => {
                 self.hear_stores(stores);
                 Reply::Pong
             }
@@ -148,7 +152,7 @@
     ) -> Reply {
         let directory = self.directory.mark();
         let standing = self.standing_for_peer(group, members_version);
-        let mut reply = self.state.borrow().digests(from, standing, directory);
+        let mut reply = self.state.borrow().digests_reply(from, standing, directory);
         if let Reply::Digests { silent, .. } = &mut reply {
             *silent = self.silent_peers();
         }
@@ -158,7 +162,7 @@
     fn standing_for_peer(&self, group: GroupNumber, members_version: u64) -> PeerStanding {
         let standing = self.standing.borrow().for_peer(group, members_version);
         PeerStanding {
-            complete: standing.complete && self.stores_saved(),
+            complete: standing.complete && self.has_saved_stores(),
             ..standing
         }
     }
@@ -170,13 +174,17 @@
             let state = self.state.borrow();
             let forgotten = digests.iter().filter(|digest| !state.holds(**digest));
             let forgotten = forgotten.copied().collect();
-            (state.places(digests), state.end().journal, forgotten)
+            (
+                state.locations(digests),
+                state.journal_end().journal,
+                forgotten,
+            )
         };
         let read = self.reader.records(places).await;
         Reply::Fetched {
             journal,
             records: read.into_iter().filter_map(Result::ok).collect(),
-            forgotten,
+            expired: forgotten,
         }
     }
 
@@ -207,10 +215,10 @@
 
     /// The parts of a chain, those from the disk in one go; `None` if one can't
     /// be read or is another turn than the one before it names.
-    async fn read_chain(&self, turn: &Text, steps: Vec<ChainStep>) -> Option<Vec<ChainPart>> {
+    async fn read_chain(&self, turn: &Text, steps: Vec<ChainLink>) -> Option<Vec<ChainPart>> {
         let places = steps.iter().filter_map(|step| match step {
-            ChainStep::OnDisk(place) => Some(*place),
-            ChainStep::Known(_) => None,
+            ChainLink::OnDisk(place) => Some(*place),
+            ChainLink::Cached(_) => None,
         });
         let places: Vec<_> = places.collect();
         let read = match places.is_empty() {
@@ -222,8 +230,8 @@
         let mut expected = turn.clone();
         for step in steps {
             let part = match step {
-                ChainStep::Known(part) => part,
-                ChainStep::OnDisk(_) => part_of(read.next()?.ok()?)?,
+                ChainLink::Cached(part) => part,
+                ChainLink::OnDisk(_) => part_of(read.next()?.ok()?)?,
             };
             if part.turn != expected {
                 return None;
@@ -253,7 +261,7 @@
             Record::Reserve { program, turn, .. } => Some((program.clone(), TurnKey::of(turn))),
             Record::Settle { .. } | Record::Turn(_) | Record::Clock { .. } => None,
         };
-        if !self.keep(record).await {
+        if !self.store_record(record).await {
             return Reply::Refused(Refusal::DiskRefused);
         }
         // A newer list may have come while the record waited for the disk, and a peer may
@@ -264,26 +272,26 @@
         let (ledger, others) = match reserved {
             Some((program, TurnKey(turn))) => (
                 self.state.borrow().ledger_entries(&program),
-                OthersReport {
-                    placed: self.placed.borrow_mut().others(turn),
+                OtherFrontsReport {
+                    placed_turns: self.placed.borrow_mut().others(turn),
                     ..self.loads.of_others(front)
                 },
             ),
             None => Default::default(),
         };
-        Reply::Kept {
+        Reply::Stored {
             complete: self.standing.borrow().complete_for(group),
             ledger,
-            others,
+            other_fronts: others,
             directory: self.directory.mark(),
         }
     }
 
     /// Decides on a tenant's request, for all fronts.
-    fn rule(&self, question: QuotaQuestion) -> Reply {
-        let pressed = question.pressed || question.standby;
-        let Some(question) = question.checked() else {
-            return Reply::Quota(QuotaAnswer::default());
+    fn rule(&self, question: QuotaRequest) -> Reply {
+        let pressed = question.forced || question.standby;
+        let Some(question) = question.validated() else {
+            return Reply::Quota(QuotaReply::default());
         };
         let now = self.started.elapsed();
         let mut quotas = self.quotas.borrow_mut();
@@ -299,8 +307,8 @@
             Verdict::Granted => quotas.receipt(question.tenant, now),
             Verdict::Refused(_) | Verdict::Unknown => None,
         };
-        Reply::Quota(QuotaAnswer {
-            known: verdict != Verdict::Unknown,
+        Reply::Quota(QuotaReply {
+            decided: verdict != Verdict::Unknown,
             granted: verdict == Verdict::Granted,
             retry_after_milliseconds: u32::try_from(after.as_millis()).unwrap_or(u32::MAX),
             fronts: u16::try_from(self.loads.fronts()).unwrap_or(u16::MAX),
@@ -308,8 +316,8 @@
         })
     }
 
-    fn count_granted(&self, question: QuotaQuestion) {
-        if let Some(question) = question.checked() {
+    fn count_granted(&self, question: QuotaRequest) {
+        if let Some(question) = question.validated() {
             let now = self.started.elapsed();
             self.quotas.borrow_mut().count(&question, now);
         }
@@ -345,7 +353,7 @@
         let told = source
             .as_ref()
             .and_then(|source| source.tell_changes(after));
-        told.map_or(Reply::DirectoryUnknown, relay::changes_reply)
+        told.map_or(Reply::DirectoryUnknown, directory_relay::changes_reply)
     }
 
     async fn tell_routes(&self) -> Reply {
@@ -356,7 +364,7 @@
         // A front asks the service itself where this takes longer.
         let telling = tokio::time::timeout(TELL_ROUTES_WITHIN, source.tell_routes()).await;
         let told = telling.ok().flatten();
-        told.map_or(Reply::DirectoryUnknown, relay::routes_reply)
+        told.map_or(Reply::DirectoryUnknown, directory_relay::routes_reply)
     }
 
     /// The members of the groups, or who has registered while there are none.
@@ -372,7 +380,7 @@
     fn tell_directory(&self) -> Reply {
         let source = self.source.borrow();
         let told = source.as_ref().and_then(|source| source.tell_items());
-        told.map_or(Reply::DirectoryUnknown, relay::directory_reply)
+        told.map_or(Reply::DirectoryUnknown, directory_relay::directory_reply)
     }
 }
 
--- a/crates/stageyoke-store/src/message.rs
+++ b/crates/stageyoke-store/src/message.rs
@@ -20,7 +20,7 @@
     /// Data of its events, each followed by a line feed.
     pub output: Blob,
     /// Tokens that it generated.
-    pub used: u32,
+    pub used_tokens: u32,
     /// How long the turn and its chain are kept, in seconds.
     pub retention_seconds: u32,
 }
@@ -35,7 +35,7 @@
         /// Turn that reserves.
         turn: Text,
         /// Most tokens of the turn.
-        most: u32,
+        max_tokens: u32,
     },
     /// A turn is over and has generated `used` tokens.
     Settle {
@@ -44,7 +44,7 @@
         /// Turn that reserved.
         turn: Text,
         /// Tokens that it generated.
-        used: u32,
+        used_tokens: u32,
     },
     /// A finished turn; settles its reservation as well.
     Turn(TurnRecord),
@@ -125,7 +125,7 @@
 
 /// An item of the key-value service, as a store last saw it.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub struct SeenItem {
+pub struct DirectoryItem {
     /// The key.
     pub key: Text,
     /// Its value.
@@ -136,7 +136,7 @@
 
 /// A change of an item, as a store saw it.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub struct SeenChange {
+pub struct DirectoryChange {
     /// The key.
     pub key: Text,
     /// Its value; `None` if it was removed.
@@ -147,7 +147,7 @@
 
 /// How far a copy of the directory goes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
-pub struct CopyMark {
+pub struct CopyFreshness {
     /// It holds every change up to this revision.
     pub revision: u64,
     /// How long ago that was the newest state, in milliseconds.
@@ -163,7 +163,7 @@
     /// Hash of the replica's identifier.
     pub replica: u32,
     /// Requests under way there.
-    pub under_way: u16,
+    pub in_flight: u16,
 }
 
 /// Where a turn runs.
@@ -172,12 +172,12 @@
     /// Hash of the replica's identifier.
     pub replica: u32,
     /// How long it may run at most, in milliseconds.
-    pub lasting_milliseconds: u32,
+    pub max_duration_milliseconds: u32,
 }
 
 /// How long a replica's answers took one front, against what such answers take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub struct PaceEntry {
+pub struct LatencyEntry {
     /// Hash of the replica's identifier.
     pub replica: u32,
     /// Hundredths of the logarithm of that ratio, summed over the answers.
@@ -192,7 +192,7 @@
     /// Hash of the replica's identifier.
     pub replica: u32,
     /// How many times as long, in tenths.
-    pub tenths: u16,
+    pub slowdown_tenths: u16,
 }
 
 /// What a front has seen of replicas, told along with its records.
@@ -205,7 +205,7 @@
     /// Hashes of the replicas that have failed this front of late.
     pub suspects: List<u32>,
     /// Times of answers since the group was told last.
-    pub paces: List<PaceEntry>,
+    pub latencies: List<LatencyEntry>,
 }
 
 /// How many other fronts a replica has failed of late.
@@ -219,20 +219,20 @@
 
 /// What all other fronts have seen of replicas.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
-pub struct OthersReport {
+pub struct OtherFrontsReport {
     /// Requests under way, summed; the busiest replicas where there are many.
     pub entries: List<LoadEntry>,
     /// Replicas that failed other fronts of late.
     pub suspects: List<Suspicion>,
     /// The group's other turns that run now, by replica.
-    pub placed: List<LoadEntry>,
+    pub placed_turns: List<LoadEntry>,
     /// Slow replicas, by what all fronts have told.
-    pub slow: List<SlowReplica>,
+    pub slow_replicas: List<SlowReplica>,
 }
 
 /// May one more request of a tenant be made?
 #[derive(Clone, Copy, Debug, PartialEq, SerBin, DeBin)]
-pub struct QuotaQuestion {
+pub struct QuotaRequest {
     /// Hash of the tenant's name.
     pub tenant: u64,
     /// Hash of the request's program; zero where it has none.
@@ -247,10 +247,10 @@
     pub standby: bool,
     /// Whether it shall decide though it does not know the whole window: no store
     /// does.
-    pub pressed: bool,
+    pub forced: bool,
 }
 
-impl From<Question> for QuotaQuestion {
+impl From<Question> for QuotaRequest {
     fn from(question: Question) -> Self {
         Self {
             tenant: question.tenant,
@@ -259,14 +259,14 @@
             burst: question.limit.burst,
             version: question.version,
             standby: question.standby,
-            pressed: false,
+            forced: false,
         }
     }
 }
 
-impl QuotaQuestion {
+impl QuotaRequest {
     /// The question, if its limit is one.
-    pub fn checked(self) -> Option<Question> {
+    pub fn validated(self) -> Option<Question> {
         let limit = Limit {
             per_second: self.per_second,
             burst: self.burst,
@@ -285,10 +285,10 @@
 
 /// An owner's answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
-pub struct QuotaAnswer {
+pub struct QuotaReply {
     /// Whether this store has decided: it counts for the tenant, and knows its requests
     /// of the last window.
-    pub known: bool,
+    pub decided: bool,
     /// Whether the request may be made.
     pub granted: bool,
     /// When to come back, in milliseconds.
@@ -307,7 +307,7 @@
     /// Version of the limit.
     pub version: u64,
     /// Life of the owner.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 impl From<Receipt> for QuotaReceipt {
@@ -315,7 +315,7 @@
         Self {
             slot: receipt.slot,
             version: receipt.version,
-            life: receipt.life,
+            incarnation: receipt.life,
         }
     }
 }
@@ -325,7 +325,7 @@
         Self {
             slot: receipt.slot,
             version: receipt.version,
-            life: receipt.life,
+            life: receipt.incarnation,
         }
     }
 }
@@ -370,25 +370,25 @@
     },
     /// The store groups as the key-value service took them, for a store that goes by
     /// older ones: the service may turn it away.
-    NewerStores(StoreGroups),
+    NewerStoreGroups(StoreGroups),
     /// A turn of the group is to run elsewhere than was said.
-    Placed {
+    TurnPlaced {
         /// The turn, by its key (`TurnKey`).
         turn: u64,
         /// Where it runs.
         placement: Placement,
     },
     /// A turn of the group is over, and no record says so.
-    Ended {
+    TurnEnded {
         /// The turn, by its key (`TurnKey`).
         turn: u64,
     },
     /// May a request of a tenant be made? Counted if so.
-    Quota(QuotaQuestion),
+    Quota(QuotaRequest),
     /// Another owner has granted it.
-    QuotaGranted(QuotaQuestion),
+    QuotaGranted(QuotaRequest),
     /// A request that this store has granted was not run.
-    QuotaReturned {
+    QuotaRefund {
         /// Hash of the tenant's name.
         tenant: u64,
         /// Where it was counted.
@@ -422,13 +422,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum Reply {
     /// The record is on the disk.
-    Kept {
+    Stored {
         /// Whether this store holds everything it ever acknowledged.
         complete: bool,
         /// The program's ledger; filled for reservations.
         ledger: List<LedgerEntry>,
         /// What all other fronts have seen; filled for reservations.
-        others: OthersReport,
+        other_fronts: OtherFrontsReport,
         /// Up to where this store knows the key-value service's directory.
         directory: DirectoryMark,
     },
@@ -461,33 +461,33 @@
         digests: List<RecordDigest>,
     },
     /// Whether a request may be made.
-    Quota(QuotaAnswer),
+    Quota(QuotaReply),
     /// The store is there, and has heard.
     Pong,
     /// Items as last seen.
-    Items(List<SeenItem>),
+    Items(List<DirectoryItem>),
     /// Changes of the directory.
     Changes {
         /// Whether all changes after the revision that was asked for are known.
         known: bool,
         /// In the order of their revisions.
-        changes: List<SeenChange>,
+        changes: List<DirectoryChange>,
         /// Up to where they go.
-        mark: CopyMark,
+        mark: CopyFreshness,
     },
     /// The configuration.
     Routes {
         /// Its item.
-        item: SeenItem,
+        item: DirectoryItem,
         /// How long ago the read began that it rests on, in milliseconds.
         age_milliseconds: u32,
     },
     /// The whole directory.
     Directory {
         /// All items.
-        items: List<SeenItem>,
+        items: List<DirectoryItem>,
         /// Up to where they go.
-        mark: CopyMark,
+        mark: CopyFreshness,
     },
     /// This store does not know the directory yet.
     DirectoryUnknown,
@@ -500,7 +500,7 @@
         /// Those that could be read.
         records: List<Record>,
         /// Those that are past their time and held no longer.
-        forgotten: List<RecordDigest>,
+        expired: List<RecordDigest>,
     },
     /// Nothing was done, or the store misses the turn and can't vouch for its
     /// absence: the caller's member list is too old, or the store is no member of
--- a/crates/stageyoke-store/src/owners.rs
+++ b/crates/stageyoke-store/src/owners.rs
@@ -20,7 +20,7 @@
 
 use crate::client::StoreClient;
 use crate::keys::TurnKey;
-use crate::message::{QuotaAnswer, QuotaQuestion, QuotaReceipt, Reply, Request};
+use crate::message::{QuotaReceipt, QuotaReply, QuotaRequest, Reply, Request};
 
 /// How long an owner may take before the next is asked: several ways there and
 /// back between zones, and the longest pauses of a store that is only busy.
@@ -213,10 +213,10 @@
     ) -> Option<Ruling> {
         let asked = client(node)?;
         let tenant = question.tenant;
-        let question = QuotaQuestion {
+        let question = QuotaRequest {
             standby: asking == Asking::Standby,
-            pressed: asking == Asking::Pressed,
-            ..QuotaQuestion::from(question)
+            forced: asking == Asking::Pressed,
+            ..QuotaRequest::from(question)
         };
         match asked.call(Request::Quota(question), ANSWER_WITHIN).await {
             Ok(Reply::Quota(answer)) => Some(Ruling::of(answer, node, tenant)),
@@ -250,7 +250,7 @@
 /// much again where it goes on for the first.
 fn tell_granted(question: Question, others: impl Iterator<Item = Rc<StoreClient>>) {
     for other in others {
-        let request = Request::QuotaGranted(QuotaQuestion::from(question));
+        let request = Request::QuotaGranted(QuotaRequest::from(question));
         tokio::task::spawn_local(tell(other, request));
     }
 }
@@ -262,7 +262,7 @@
         metrics().quota_untold.inc();
         return;
     };
-    let request = Request::QuotaReturned {
+    let request = Request::QuotaRefund {
         tenant: grant.tenant,
         receipt: grant.receipt,
     };
@@ -277,9 +277,9 @@
 }
 
 impl Ruling {
-    fn of(answer: QuotaAnswer, owner: &Text, tenant: u64) -> Self {
+    fn of(answer: QuotaReply, owner: &Text, tenant: u64) -> Self {
         let after = Duration::from_millis(u64::from(answer.retry_after_milliseconds));
-        let verdict = match (answer.known, answer.granted) {
+        let verdict = match (answer.decided, answer.granted) {
             (false, _) => Verdict::Unknown,
             (true, true) => Verdict::Granted,
             (true, false) => Verdict::Refused(after),
--- a/crates/stageyoke-store/src/pace.rs
+++ b/crates/stageyoke-store/src/pace.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 
 use crate::extension::Deviation;
-use crate::message::{PaceEntry, SlowReplica};
+use crate::message::{LatencyEntry, SlowReplica};
 
 /// Replicas in one message.
 const MOST_TOLD: usize = 64;
@@ -72,10 +72,10 @@
     }
 
     /// What this group has not been told yet.
-    pub fn take(&self, group: GroupNumber) -> List<PaceEntry> {
+    pub fn take(&self, group: GroupNumber) -> List<LatencyEntry> {
         let mut groups = self.groups.borrow_mut();
         let untold = std::mem::take(groups.entry(group).or_default());
-        let entries = untold.into_iter().map(|(replica, answers)| PaceEntry {
+        let entries = untold.into_iter().map(|(replica, answers)| LatencyEntry {
             replica,
             log_ratio: (answers.log_ratio * HUNDREDTHS) as i32,
             answers: answers.count as u16,
@@ -96,7 +96,7 @@
         let mut heard = self.slow.borrow_mut();
         heard.retain(|_, (_, at)| at.elapsed() < HEARD_LIFE);
         for replica in slow {
-            let times = f64::from(replica.tenths) / 10.0;
+            let times = f64::from(replica.slowdown_tenths) / 10.0;
             heard.insert(replica.replica, (times, Instant::now()));
         }
     }
@@ -158,7 +158,7 @@
     }
 
     /// Takes what a front tells.
-    pub fn take(&mut self, entries: &[PaceEntry]) {
+    pub fn take(&mut self, entries: &[LatencyEntry]) {
         let now = Instant::now();
         for entry in entries {
             if self.replicas.len() >= MOST_REPLICAS && !self.replicas.contains_key(&entry.replica) {
@@ -192,11 +192,11 @@
             if let (true, Some(times)) = (told.slow, times) {
                 slow.push(SlowReplica {
                     replica: *replica,
-                    tenths: (times * 10.0) as u16,
+                    slowdown_tenths: (times * 10.0) as u16,
                 });
             }
         }
-        slow.sort_by_key(|slow| std::cmp::Reverse(slow.tenths));
+        slow.sort_by_key(|slow| std::cmp::Reverse(slow.slowdown_tenths));
         slow.truncate(MOST_TOLD);
         List(slow)
     }
--- a/crates/stageyoke-store/src/peer_version.rs
+++ b/crates/stageyoke-store/src/peer_version.rs
@@ -5,7 +5,7 @@
 use stageyoke_observe as observe;
 use stageyoke_types::Event;
 
-use crate::extension::{Extensions, FIRST_VERSION, VERSION};
+use crate::extension::{ExtensionFields, FIRST_VERSION, VERSION};
 
 /// The other end of one connection. Its first message tells its version, or that it
 /// knows of none.
@@ -29,7 +29,7 @@
     }
 
     /// Takes what came with a message of the peer.
-    pub fn hear(&self, extensions: &Extensions) {
+    pub fn record_greeting(&self, extensions: &ExtensionFields) {
         if self.version.get().is_some() {
             return;
         }
@@ -42,7 +42,7 @@
     }
 
     /// Whether the peer has told that it reads fields behind messages.
-    pub fn reads_extensions(&self) -> bool {
+    pub fn reads_extension_fields(&self) -> bool {
         self.version
             .get()
             .is_some_and(|version| version > FIRST_VERSION)
@@ -50,16 +50,16 @@
 
     /// What goes behind a message to the peer: the greeting behind the first one, which
     /// a reader of version 1 leaves, and these fields if the peer reads any.
-    pub fn behind(&self, fields: &Extensions) -> Extensions {
+    pub fn fields_for_next_message(&self, fields: &ExtensionFields) -> ExtensionFields {
         let version = (!self.greeted.replace(true)).then_some(VERSION);
-        match self.reads_extensions() {
-            true => Extensions {
+        match self.reads_extension_fields() {
+            true => ExtensionFields {
                 version,
                 ..fields.clone()
             },
-            false => Extensions {
+            false => ExtensionFields {
                 version,
-                ..Extensions::default()
+                ..ExtensionFields::default()
             },
         }
     }
--- a/crates/stageyoke-store/src/quorum.rs
+++ b/crates/stageyoke-store/src/quorum.rs
@@ -82,7 +82,7 @@
     /// Takes an answer of the member on this machine, which counts once.
     pub fn take(&mut self, member: &Text, reply: Reply) {
         match reply {
-            Reply::Kept {
+            Reply::Stored {
                 complete, ledger, ..
             } => {
                 self.ledger.merge(ledger);
--- a/crates/stageyoke-store/src/rank_load.rs
+++ b/crates/stageyoke-store/src/rank_load.rs
@@ -38,7 +38,7 @@
 impl RankCounts {
     fn add(&mut self, load: &RankLoad) {
         let sum = self.0.entry(Ranked::of(load)).or_default();
-        *sum = sum.saturating_add(load.under_way);
+        *sum = sum.saturating_add(load.in_flight);
     }
 
     /// The highest counts, as they are told.
@@ -46,10 +46,10 @@
         let listed = self.0.iter().map(|(ranked, under_way)| RankLoad {
             service: ranked.service,
             rank: ranked.rank,
-            under_way: *under_way,
+            in_flight: *under_way,
         });
         let mut listed: Vec<RankLoad> = listed.collect();
-        listed.sort_by_key(|load| std::cmp::Reverse(load.under_way));
+        listed.sort_by_key(|load| std::cmp::Reverse(load.in_flight));
         listed.truncate(MAX_RANK_LOADS);
         List(listed)
     }
--- a/crates/stageyoke-store/src/reader.rs
+++ b/crates/stageyoke-store/src/record_reader.rs
@@ -7,11 +7,11 @@
 use tokio::sync::oneshot;
 
 use crate::message::Record;
-use crate::segment::{DataFolder, Place};
+use crate::segment::{DataFolder, RecordLocation};
 
 enum Command {
     Records {
-        places: Vec<Place>,
+        places: Vec<RecordLocation>,
         reply: oneshot::Sender<Vec<io::Result<Record>>>,
     },
     Segment {
@@ -38,7 +38,7 @@
     }
 
     /// Reads the records at these places, each with its own outcome.
-    pub async fn records(&self, places: Vec<Place>) -> Vec<io::Result<Record>> {
+    pub async fn records(&self, places: Vec<RecordLocation>) -> Vec<io::Result<Record>> {
         let count = places.len();
         let (reply, answer) = oneshot::channel();
         let _ = self.commands.send(Command::Records { places, reply });
--- a/crates/stageyoke-store/src/segment.rs
+++ b/crates/stageyoke-store/src/segment.rs
@@ -11,8 +11,8 @@
 use stageyoke_types::List;
 
 use crate::completeness::Completeness;
-use crate::message::{Record, SeenItem};
-use crate::state::State;
+use crate::message::{DirectoryItem, Record};
+use crate::state::StoreState;
 
 const HEADER_BYTES: usize = 8;
 /// Bytes of a segment that a scan reads ahead.
@@ -46,12 +46,12 @@
     let mut scan = RecordScan::new(bytes, bytes.len() as u64);
     let scanned = scan.by_ref().map_while(Result::ok);
     let records = scanned.map(|scanned| scanned.record).collect();
-    (records, scan.damaged())
+    (records, scan.is_damaged())
 }
 
 /// Where a record lies on the disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Place {
+pub struct RecordLocation {
     /// Number of the segment: 32 bits last for centuries of a segment a second.
     pub segment: u32,
     /// Bytes before the record's header.
@@ -92,7 +92,7 @@
     }
 
     /// Whether the scan ended at damage.
-    pub fn damaged(&self) -> bool {
+    pub fn is_damaged(&self) -> bool {
         self.damaged
     }
 
@@ -159,7 +159,7 @@
 
 /// A segment and how much of it counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SegmentUse {
+pub struct SegmentUsage {
     /// Number of its file.
     pub number: u64,
     /// Records in it.
@@ -174,13 +174,13 @@
     /// Identity of the disk, which a lost one does not share with its successor.
     pub disk: u64,
     /// Index of all records.
-    pub state: State,
+    pub state: StoreState,
     /// For which group the disk holds everything that it ever acknowledged.
     pub completeness: Completeness,
     /// Segments, oldest first.
-    pub segments: Vec<SegmentUse>,
+    pub segments: Vec<SegmentUsage>,
     /// Segments that ended in a torn record.
-    pub torn: usize,
+    pub torn_segments: usize,
     /// Bytes of all segments.
     pub bytes: u64,
     /// Seconds of the disk's clock.
@@ -234,10 +234,10 @@
         };
         let mut recovered = Recovered {
             disk: identity.unwrap_or(drawn),
-            state: State::new(drawn),
+            state: StoreState::new(drawn),
             completeness: marked,
             segments: Vec::new(),
-            torn: 0,
+            torn_segments: 0,
             bytes: 0,
             clock: 0,
             stores: self.read_stores(),
@@ -266,7 +266,7 @@
                 recovered.start_segment_at(seconds);
                 continue;
             }
-            let place = Place {
+            let place = RecordLocation {
                 segment,
                 offset: scanned.offset,
                 length: scanned.length,
@@ -274,9 +274,9 @@
             recovered.state.add(&scanned.record, place, recovered.clock);
             records += 1;
         }
-        recovered.torn += usize::from(scan.damaged());
+        recovered.torn_segments += usize::from(scan.is_damaged());
         recovered.bytes += length;
-        recovered.segments.push(SegmentUse {
+        recovered.segments.push(SegmentUsage {
             number,
             records,
             last_write: recovered.clock,
@@ -291,7 +291,7 @@
     }
 
     /// Reads one record back.
-    pub fn read_record(&self, place: Place) -> io::Result<Record> {
+    pub fn read_record(&self, place: RecordLocation) -> io::Result<Record> {
         let mut file = File::open(self.path.join(segment_name(u64::from(place.segment))))?;
         file.seek(SeekFrom::Start(u64::from(place.offset)))?;
         let mut bytes = vec![0; place.length as usize];
@@ -328,12 +328,12 @@
     }
 
     /// Keeps the items of the key-value service for such a start.
-    pub fn save_items(&self, items: &List<SeenItem>) -> io::Result<()> {
+    pub fn save_items(&self, items: &List<DirectoryItem>) -> io::Result<()> {
         self.replace(ITEMS_FILE, &items.serialize_bin())
     }
 
     /// The items that were last kept.
-    pub fn read_items(&self) -> List<SeenItem> {
+    pub fn read_items(&self) -> List<DirectoryItem> {
         self.read_file(ITEMS_FILE)
             .ok()
             .and_then(|bytes| List::deserialize_bin(&bytes).ok())
--- a/crates/stageyoke-store/src/server.rs
+++ b/crates/stageyoke-store/src/server.rs
@@ -9,9 +9,9 @@
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-use crate::extension::Extensions;
+use crate::extension::ExtensionFields;
 use crate::frame::{self, Received};
-use crate::keeper::{AnswerFields, Keeper};
+use crate::local_store::{LocalStore, RequestedFields};
 use crate::message::{Numbered, Request};
 use crate::peer_version::PeerVersion;
 use crate::socket;
@@ -21,39 +21,39 @@
 const MOST_UNDER_WAY: usize = 128;
 
 /// Accepts connections for ever.
-pub async fn serve(keeper: Rc<Keeper>, listener: TcpListener) {
+pub async fn serve(local_store: Rc<LocalStore>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 socket::configure(&stream);
-                tokio::task::spawn_local(serve_connection(keeper.clone(), stream));
+                tokio::task::spawn_local(serve_connection(local_store.clone(), stream));
             }
             Err(_) => tokio::time::sleep(std::time::Duration::from_millis(50)).await,
         }
     }
 }
 
-async fn serve_connection(keeper: Rc<Keeper>, stream: TcpStream) {
+async fn serve_connection(local_store: Rc<LocalStore>, stream: TcpStream) {
     let address = stream
         .peer_addr()
         .map_or_else(|error| error.to_string(), |peer| peer.to_string());
     let peer = Rc::new(PeerVersion::unknown(address.clone()));
     let (reader, writer) = stream.into_split();
     let (replies, outbox) = unbounded_channel();
-    let sending = tokio::task::spawn_local(frame::write_waiting(writer, outbox));
+    let sending = tokio::task::spawn_local(frame::write_queued_frames(writer, outbox));
     let under_way = Arc::new(Semaphore::new(MOST_UNDER_WAY));
     let mut reader = BufReader::new(reader);
     let error = loop {
-        let received = match frame::read_extended::<Request>(&mut reader).await {
+        let received = match frame::read_with_fields::<Request>(&mut reader).await {
             Ok(received) => received,
             Err(error) => break error,
         };
         let Received {
             message,
-            extensions,
+            extension_fields: extensions,
         } = received;
-        peer.hear(&extensions);
-        let fields = keeper.hear_fields(&message.content, extensions);
+        peer.record_greeting(&extensions);
+        let fields = local_store.apply_request_fields(&message.content, extensions);
         let Ok(room) = under_way.clone().acquire_owned().await else {
             break io::ErrorKind::ConnectionAborted.into();
         };
@@ -61,16 +61,16 @@
             fields,
             peer: peer.clone(),
         };
-        let answering = answer_one(keeper.clone(), message, behind, room, replies.clone());
+        let answering = answer_one(local_store.clone(), message, behind, room, replies.clone());
         tokio::task::spawn_local(answering);
     };
-    frame::report_end(&address, &error);
+    frame::log_read_error(&address, &error);
     sending.abort();
 }
 
 /// What goes behind a reply, and to whom.
 struct Behind {
-    fields: AnswerFields,
+    fields: RequestedFields,
     peer: Rc<PeerVersion>,
 }
 
@@ -88,21 +88,23 @@
 }
 
 async fn answer_one(
-    keeper: Rc<Keeper>,
+    local_store: Rc<LocalStore>,
     request: Numbered<Request>,
     behind: Behind,
     room: OwnedSemaphorePermit,
     replies: UnboundedSender<Outgoing>,
 ) {
-    let content = keeper.answer(request.content).await;
-    let extensions = match behind.peer.reads_extensions() {
-        true => behind.peer.behind(&keeper.fields_behind(behind.fields)),
-        false => Extensions::default(),
+    let content = local_store.handle_request(request.content).await;
+    let extensions = match behind.peer.reads_extension_fields() {
+        true => behind
+            .peer
+            .fields_for_next_message(&local_store.reply_fields(behind.fields)),
+        false => ExtensionFields::default(),
     };
     let reply = Numbered {
         number: request.number,
         content,
     };
-    let bytes = frame::encode_extended(&reply, &extensions);
+    let bytes = frame::encode_with_fields(&reply, &extensions);
     let _ = replies.send(Outgoing { bytes, _room: room });
 }
--- a/crates/stageyoke-store/src/state.rs
+++ b/crates/stageyoke-store/src/state.rs
@@ -12,14 +12,14 @@
     ChainPart, JournalPosition, LedgerEntry, Record, RecordDigest, Reply, TurnRecord,
 };
 use crate::recent::RecentTurns;
-use crate::segment::Place;
+use crate::segment::RecordLocation;
 use crate::standing::PeerStanding;
 
 /// Digests in one page.
-pub const DIGEST_PAGE: usize = 4096;
+pub const MAX_DIGESTS_PER_PAGE: usize = 4096;
 /// How long a program's ledger is kept after its last turn where no record has
 /// told a retention.
-pub const LEDGER_KEEP_SECONDS: u64 = 300;
+pub const DEFAULT_LEDGER_RETENTION_SECONDS: u64 = 300;
 /// Seconds that a record is kept beyond its retention: a request that comes in
 /// time may take its deadline of some seconds, and is repeated once or twice.
 pub const RETENTION_MARGIN_SECONDS: u64 = 15;
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug)]
 struct HeldTurn {
     previous: Option<TurnKey>,
-    place: Place,
+    place: RecordLocation,
     keep_until: u64,
 }
 
@@ -61,21 +61,21 @@
 #[derive(Clone, Debug)]
 struct Holding {
     copies: u32,
-    place: Place,
+    place: RecordLocation,
 }
 
 /// One turn of a chain, as far as it is in memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ChainStep {
+pub enum ChainLink {
     /// With its content.
-    Known(ChainPart),
+    Cached(ChainPart),
     /// The content must be read from the disk.
-    OnDisk(Place),
+    OnDisk(RecordLocation),
 }
 
 /// Index of turns, ledgers and digests.
 #[derive(Debug)]
-pub struct State {
+pub struct StoreState {
     journal_identifier: u64,
     first: u64,
     journal: VecDeque<RecordDigest>,
@@ -87,7 +87,7 @@
     recent: RecentTurns,
 }
 
-impl State {
+impl StoreState {
     /// An empty state; its journal has this identifier.
     pub fn new(journal_identifier: u64) -> Self {
         Self {
@@ -104,7 +104,7 @@
     }
 
     /// Keeps the newest turns' contents within so many bytes from now on.
-    pub fn keep_recent(&mut self, bytes: usize) {
+    pub fn set_recent_bytes(&mut self, bytes: usize) {
         self.recent = RecentTurns::new(bytes);
     }
 
@@ -114,17 +114,17 @@
     }
 
     /// Bytes of turns' inputs and outputs in memory.
-    pub fn turn_bytes(&self) -> usize {
+    pub fn cached_turn_bytes(&self) -> usize {
         self.recent.bytes()
     }
 
     /// Entries of all ledgers in memory.
-    pub fn ledger_entries_held(&self) -> usize {
+    pub fn ledger_entry_count(&self) -> usize {
         self.ledger_entries
     }
 
     /// Bytes of memory that all of it takes, estimated from the counts.
-    pub fn memory(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         self.turns.len() * TURN_BYTES
             + self.held.len() * HELD_BYTES
             + self.journal.len() * JOURNAL_BYTES
@@ -134,7 +134,7 @@
     }
 
     /// Seconds after its last write that a segment is looked at again.
-    pub fn longest_keep(&self) -> u64 {
+    pub fn max_retention_seconds(&self) -> u64 {
         self.longest_retention + RETENTION_MARGIN_SECONDS
     }
 
@@ -142,13 +142,13 @@
     /// may come back within the retention, and starts anew after it.
     fn ledger_keep(&self) -> u64 {
         match self.longest_retention {
-            0 => LEDGER_KEEP_SECONDS,
-            _ => self.longest_keep(),
+            0 => DEFAULT_LEDGER_RETENTION_SECONDS,
+            _ => self.max_retention_seconds(),
         }
     }
 
     /// Number of the record that will be added next.
-    pub fn end(&self) -> JournalPosition {
+    pub fn journal_end(&self) -> JournalPosition {
         JournalPosition {
             journal: self.journal_identifier,
             next: self.first + self.journal.len() as u64,
@@ -157,7 +157,7 @@
 
     /// Adds a record, which lies at `place`, at the end of the journal. The
     /// caller has checked that it is not held, or has written it again.
-    pub fn add(&mut self, record: &Record, place: Place, now: u64) {
+    pub fn add(&mut self, record: &Record, place: RecordLocation, now: u64) {
         if matches!(record, Record::Clock { .. }) {
             return;
         }
@@ -173,12 +173,12 @@
             Record::Reserve {
                 program,
                 turn,
-                most,
+                max_tokens: most,
             } => self.reserve(program, turn, *most, now),
             Record::Settle {
                 program,
                 turn,
-                used,
+                used_tokens: used,
             } => self.settle(program, TurnKey::of(turn), *used, now),
             Record::Turn(turn) => self.add_turn(turn, place, now),
             Record::Clock { .. } => {}
@@ -225,11 +225,11 @@
         }
     }
 
-    fn add_turn(&mut self, record: &TurnRecord, place: Place, now: u64) {
+    fn add_turn(&mut self, record: &TurnRecord, place: RecordLocation, now: u64) {
         let retention = u64::from(record.retention_seconds);
         self.longest_retention = self.longest_retention.max(retention);
         let key = TurnKey::of(&record.turn);
-        self.settle(&record.program, key, record.used, now);
+        self.settle(&record.program, key, record.used_tokens, now);
         let keep_until = now + retention + RETENTION_MARGIN_SECONDS;
         let previous = (!record.previous.is_empty()).then(|| TurnKey::of(&record.previous));
         let held = self.turns.entry(key).or_insert(HeldTurn {
@@ -266,15 +266,15 @@
     }
 
     /// The chain that ends in `turn`, as far as it is held, newest first.
-    pub fn chain(&self, turn: &Text) -> Vec<ChainStep> {
+    pub fn chain(&self, turn: &Text) -> Vec<ChainLink> {
         let mut steps = Vec::new();
         let mut next = Some(TurnKey::of(turn));
         while let Some(key) = next
             && let Some(held) = self.turns.get(&key)
         {
             steps.push(match self.recent.get(key) {
-                Some(part) => ChainStep::Known(part.clone()),
-                None => ChainStep::OnDisk(held.place),
+                Some(part) => ChainLink::Cached(part.clone()),
+                None => ChainLink::OnDisk(held.place),
             });
             next = held.previous.filter(|previous| *previous != key);
         }
@@ -283,14 +283,14 @@
 
     /// A page of digests from a position on; a position in another journal, or
     /// before the journal's start, begins at the start.
-    pub fn digests(
+    pub fn digests_reply(
         &self,
         from: JournalPosition,
         standing: PeerStanding,
         directory: DirectoryMark,
     ) -> Reply {
         let start = if from.journal == self.journal_identifier {
-            from.next.clamp(self.first, self.end().next)
+            from.next.clamp(self.first, self.journal_end().next)
         } else {
             self.first
         };
@@ -299,7 +299,7 @@
             .journal
             .iter()
             .skip(offset)
-            .take(DIGEST_PAGE)
+            .take(MAX_DIGESTS_PER_PAGE)
             .copied()
             .collect();
         let next = start + page.len() as u64;
@@ -308,7 +308,7 @@
                 journal: self.journal_identifier,
                 next,
             },
-            more: next < self.end().next,
+            more: next < self.journal_end().next,
             complete: standing.complete,
             members_version: standing.members_version,
             directory,
@@ -318,7 +318,7 @@
     }
 
     /// Where the records with these digests lie, as far as they are held.
-    pub fn places(&self, digests: &[RecordDigest]) -> Vec<Place> {
+    pub fn locations(&self, digests: &[RecordDigest]) -> Vec<RecordLocation> {
         let held = digests.iter().filter_map(|digest| self.held.get(digest));
         held.map(|holding| holding.place).collect()
     }
--- a/crates/stageyoke-store/src/role.rs
+++ b/crates/stageyoke-store/src/store_host.rs
@@ -1,7 +1,7 @@
 //! The store role: recovers the disk, serves, and keeps its place in the
 //! member list.
 
-mod report;
+mod events;
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -20,15 +20,15 @@
 use tokio::net::TcpListener;
 use tokio::time::Instant;
 
-use self::report::describe;
-pub use self::report::report_mirror_event;
+use self::events::describe;
+pub use self::events::log_mirror_event;
+use crate::directory_relay::to_directory_item;
 use crate::extension::describe_build;
 use crate::formation::{Formation, FormationStep};
 use crate::healing::Healing;
-use crate::keeper::{Keeper, SilentSince};
 use crate::limits::StoreLimits;
+use crate::local_store::{LocalStore, SilentSince};
 use crate::membership::{Oneself, PeerHealth, SharedEnd, Step, decide, fenced, nothing_kept_yet};
-use crate::relay::seen_item;
 use crate::segment::DataFolder;
 use crate::server;
 use crate::spare::{LOST_AFTER, Survey, replace_after};
@@ -122,7 +122,7 @@
 pub struct StoreHost<S, I> {
     settings: StoreSettings,
     mirror: Rc<Mirror<S, I>>,
-    keeper: Rc<Keeper>,
+    local_store: Rc<LocalStore>,
     peers: Rc<Peers>,
     survey: Survey,
     formation: RefCell<Formation>,
@@ -142,32 +142,32 @@
             "records={records} segments={} bytes={} memory={} clock={} torn={} complete={:?} journal={:016x}",
             recovered.segments.len(),
             recovered.bytes,
-            recovered.state.memory(),
+            recovered.state.memory_bytes(),
             recovered.clock,
-            recovered.torn,
+            recovered.torn_segments,
             recovered.completeness,
-            recovered.state.end().journal
+            recovered.state.journal_end().journal
         );
         observe::event(Event::LogRecovered, &detail);
         let kept_items = folder.read_items();
         let node = settings.node.clone();
-        let (keeper, results) = Keeper::open(node, folder, recovered, settings.limits)?;
-        let keeper = keeper.following(mirror.freshness().clone());
-        let keeper = Rc::new(keeper.tolerating(settings.quota_tolerance));
-        let peers = Rc::new(Peers::new(keeper.clone(), settings.tolerance.clone()));
+        let (local_store, results) = LocalStore::open(node, folder, recovered, settings.limits)?;
+        let local_store = local_store.with_directory_freshness(mirror.freshness().clone());
+        let local_store = Rc::new(local_store.with_quota_tolerance(settings.quota_tolerance));
+        let peers = Rc::new(Peers::new(local_store.clone(), settings.tolerance.clone()));
         let listener = TcpListener::bind(settings.listen).await?;
         let detail = format!("node={} {}", settings.node, describe_build());
         observe::event(Event::NodeStarted, &detail);
-        tokio::task::spawn_local(server::serve(keeper.clone(), listener));
-        let collector = keeper.clone();
-        tokio::task::spawn_local(async move { collector.collect(results).await });
-        keeper.set_items(kept_items, false);
-        keeper.telling(mirror.clone());
-        mirror.seed((*keeper.stores()).clone());
+        tokio::task::spawn_local(server::serve(local_store.clone(), listener));
+        let collector = local_store.clone();
+        tokio::task::spawn_local(async move { collector.process_journal_results(results).await });
+        local_store.set_directory_items(kept_items, false);
+        local_store.set_directory_source(mirror.clone());
+        mirror.seed((*local_store.stores()).clone());
         let host = Rc::new(Self {
             settings,
             mirror,
-            keeper,
+            local_store,
             peers,
             survey: Survey::default(),
             formation: RefCell::default(),
@@ -176,12 +176,12 @@
             items_kept: Cell::default(),
         });
         host.follow();
-        let forgetting = host.keeper.clone();
+        let forgetting = host.local_store.clone();
         tokio::task::spawn_local(async move {
             loop {
                 tokio::time::sleep(EXPIRE_PAUSE).await;
-                forgetting.expire().await;
-                forgetting.save_stores_again();
+                forgetting.expire_segments().await;
+                forgetting.retry_saving_stores();
             }
         });
         let asking = host.clone();
@@ -190,7 +190,7 @@
         });
         let mirroring = host.clone();
         tokio::task::spawn_local(async move {
-            mirroring.mirror.run(report_mirror_event).await;
+            mirroring.mirror.run(log_mirror_event).await;
         });
         host.keep_place().await;
         Ok(())
@@ -198,15 +198,16 @@
 
     fn follow(&self) {
         let view = self.mirror.view();
-        self.keeper.set_stores(view.stores.clone());
+        self.local_store.set_stores(view.stores.clone());
         if !view.stores.formed() {
             self.formation.borrow_mut().follow(&view.registered);
             let registered = view.registered.values();
             let addresses = registered.map(|store| store.address.clone());
-            self.keeper.set_registered(addresses.collect());
+            self.local_store
+                .set_registered_addresses(addresses.collect());
         }
         self.choose_group();
-        let members = self.keeper.members();
+        let members = self.local_store.members();
         self.peers.follow(&members);
         self.tell_silence(&members);
         let mut first = members.list.iter().take(ASKING_FIRST);
@@ -217,7 +218,7 @@
 
     /// The store groups, if this store is a member of none.
     fn spare_among(&self) -> Option<Rc<StoreGroups>> {
-        let stores = self.keeper.stores();
+        let stores = self.local_store.stores();
         let spare = stores.formed() && stores.group_of_node(&self.settings.node).is_none();
         spare.then_some(stores)
     }
@@ -233,7 +234,7 @@
             self.survey
                 .group_in_need(&stores, size, &self.settings.node)
         });
-        self.keeper.fill_up_for(group);
+        self.local_store.backfill_for(group);
     }
 
     /// Members of an ordinary group.
@@ -283,8 +284,13 @@
             return;
         }
         self.items_kept.set(now);
-        let items = self.mirror.items().into_iter().map(seen_item).collect();
-        self.keeper.set_items(items, true);
+        let items = self
+            .mirror
+            .items()
+            .into_iter()
+            .map(to_directory_item)
+            .collect();
+        self.local_store.set_directory_items(items, true);
     }
 
     async fn keep_place(&self) {
@@ -303,7 +309,7 @@
             tokio::select! {
                 () = tokio::time::sleep(pause) => {}
                 () = self.mirror.changed() => {}
-                () = self.keeper.newer_list_heard() => self.read_newer_list().await,
+                () = self.local_store.wait_for_newer_member_list() => self.read_newer_list().await,
             }
         }
     }
@@ -313,7 +319,7 @@
     /// Where the service does not answer, what another store told is taken: the
     /// service took it from somebody.
     async fn read_newer_list(&self) {
-        let heard = self.keeper.take_heard_stores();
+        let heard = self.local_store.take_reported_stores();
         let reading = self.mirror.confirm_stores();
         let read = tokio::time::timeout(READ_LIST_WITHIN, reading).await;
         match (read, heard) {
@@ -327,10 +333,11 @@
     /// Whether nothing is to be done soon: a complete member of a list that is not
     /// being changed, or a spare that no group needs.
     fn settled(&self) -> bool {
-        let stores = self.keeper.stores();
+        let stores = self.local_store.stores();
         let member = stores.group_of_node(&self.settings.node).is_some();
-        let settled_member = member && self.keeper.complete() && self.keeper.members().settled();
-        let idle_spare = stores.formed() && !member && self.keeper.group().is_none();
+        let settled_member =
+            member && self.local_store.is_complete() && self.local_store.members().settled();
+        let idle_spare = stores.formed() && !member && self.local_store.group().is_none();
         (settled_member || idle_spare) && !self.retiring()
     }
 
@@ -344,7 +351,7 @@
     fn next_proposal(&self) -> Option<Proposal> {
         // Without an answer of the service the groups may have changed.
         self.mirror.last_contact()?;
-        let stores = self.keeper.stores();
+        let stores = self.local_store.stores();
         if !stores.formed() {
             return self.before_formation(&stores);
         }
@@ -353,7 +360,7 @@
             // What a spare holds, the group that it was a member of holds too.
             return Some(Proposal::retirement(stores.next(), true));
         }
-        let group = self.keeper.group()?;
+        let group = self.local_store.group()?;
         let change = |members| stores.with_group(group, members);
         match self.next_step(&stores, stores.group(group)?) {
             Step::Rest(_) => None,
@@ -369,7 +376,7 @@
     /// Registers; the groups are formed once no more stores come.
     fn before_formation(&self, stores: &StoreGroups) -> Option<Proposal> {
         // Nothing can have been kept by anybody yet, whatever became of a disk.
-        self.keeper.set_complete();
+        self.local_store.declare_complete();
         if self.retiring() {
             return self.before_leaving(stores);
         }
@@ -403,7 +410,7 @@
             address: Text::from(self.settings.advertised.to_string()),
             zone: self.settings.zone.clone(),
             state: MemberState::Active,
-            disk: self.keeper.disk(),
+            disk: self.local_store.disk(),
         }
     }
 
@@ -411,19 +418,22 @@
     /// or fills up for.
     fn next_step(&self, stores: &StoreGroups, members: &Members) -> Step {
         if nothing_kept_yet(members, &self.settings.tolerance) {
-            self.keeper.set_complete();
+            self.local_store.declare_complete();
         }
         let fenced = self.fenced(members);
         let oneself = Oneself {
             entry: self.entry(),
-            complete: self.keeper.complete(),
+            complete: self.local_store.is_complete(),
             caught_up: self.peers.caught_up_with_group(),
             retiring: self.retiring(),
             surplus: self.surplus(stores, members),
             room: self.room(stores, members),
-            successor_near: self.keeper.spare_heard().is_some_and(|at| at < SPARE_NEAR),
+            successor_near: self
+                .local_store
+                .elapsed_since_spare_request()
+                .is_some_and(|at| at < SPARE_NEAR),
             fenced,
-            list_age: self.keeper.members_since().elapsed(),
+            list_age: self.local_store.members_since().elapsed(),
             replace_after: replace_after(self.settings.catch_up),
         };
         let peers = self.peer_health(members, fenced);
@@ -443,7 +453,7 @@
     fn fenced(&self, members: &Members) -> bool {
         fenced(members, &self.settings.tolerance, |member| {
             match member.node == self.settings.node {
-                true => self.keeper.complete() && self.keeper.stores_saved(),
+                true => self.local_store.is_complete() && self.local_store.has_saved_stores(),
                 false => self.peers.in_step(&member.node, members.version),
             }
         })
@@ -451,11 +461,11 @@
 
     fn peer_health(&self, members: &Members, fenced: bool) -> Vec<PeerHealth> {
         let known = self.shared_end.get();
-        let end = self.keeper.end();
+        let end = self.local_store.journal_end();
         let shared_end = SharedEnd::under(members, known, fenced, end);
         self.shared_end.set(shared_end);
         let holds_it = |node: &str| {
-            let held = self.keeper.held_by(node);
+            let held = self.local_store.held_by(node);
             shared_end.is_some_and(|end| end.held_by(held))
         };
         self.others(members)
@@ -491,7 +501,7 @@
                 since,
             })
         });
-        self.keeper.set_silent_peers(silent.collect());
+        self.local_store.set_silent_peers(silent.collect());
     }
 
     async fn propose(&self, proposal: Proposal) {
--- a/crates/stageyoke-store/src/role/report.rs
+++ b/crates/stageyoke-store/src/store_host/events.rs
@@ -23,7 +23,7 @@
 }
 
 /// Logs what the mirror reports.
-pub fn report_mirror_event(event: MirrorEvent) {
+pub fn log_mirror_event(event: MirrorEvent) {
     match event {
         MirrorEvent::Changed(changed) => {
             observe::event(Event::ViewChanged, &format!("{changed:?}"));
--- a/crates/stageyoke-store/src/sync.rs
+++ b/crates/stageyoke-store/src/sync.rs
@@ -14,7 +14,7 @@
 
 use crate::client::StoreClient;
 use crate::exchange::{Exchange, Page};
-use crate::keeper::Keeper;
+use crate::local_store::LocalStore;
 use crate::membership::caught_up_with_group;
 use crate::message::{RecordDigest, Reply, Request, SilentPeer};
 use stageyoke_observe as observe;
@@ -55,7 +55,7 @@
 
 /// All peers of this store.
 pub struct Peers {
-    keeper: Rc<Keeper>,
+    local_store: Rc<LocalStore>,
     tolerance: Tolerance,
     peers: RefCell<HashMap<Text, Rc<Peer>>>,
     /// Version of the list that was followed last.
@@ -66,9 +66,9 @@
 
 impl Peers {
     /// No peers yet.
-    pub fn new(keeper: Rc<Keeper>, tolerance: Tolerance) -> Self {
+    pub fn new(local_store: Rc<LocalStore>, tolerance: Tolerance) -> Self {
         Self {
-            keeper,
+            local_store,
             tolerance,
             peers: RefCell::default(),
             followed: Cell::new(0),
@@ -82,7 +82,7 @@
         if self.followed.replace(members.version) != members.version {
             self.list_changed.notify_waiters();
         }
-        let group = self.keeper.group();
+        let group = self.local_store.group();
         if self.group.replace(group) != group {
             // Versions of another group's list say nothing of this one's.
             self.peers.borrow_mut().clear();
@@ -94,7 +94,7 @@
                 .is_some_and(|member| member.address.as_str() == peer.client.address())
         });
         for member in members.all() {
-            if member.node == self.keeper.node || peers.contains_key(&member.node) {
+            if member.node == self.local_store.node || peers.contains_key(&member.node) {
                 continue;
             }
             let peer = Rc::new(Peer {
@@ -165,20 +165,20 @@
     /// waits for the comparisons: until they are done the group may be unable to bear
     /// the next loss.
     fn in_haste(&self) -> bool {
-        let members = self.keeper.members();
-        let is_member = members.get(&self.keeper.node).is_some();
-        !is_member || !self.keeper.complete() || !members.settled()
+        let members = self.local_store.members();
+        let is_member = members.get(&self.local_store.node).is_some();
+        !is_member || !self.local_store.is_complete() || !members.settled()
     }
 
     /// One page; whether there is more at once.
     async fn compare(&self, peer: &Peer) -> Option<bool> {
-        let group = self.keeper.group()?;
+        let group = self.local_store.group()?;
         self.fetch_missing(peer).await?;
         peer.exchange.borrow_mut().note_fetched();
         let request = Request::Digests {
             group,
-            members_version: self.keeper.members().version,
-            node: self.keeper.node.clone(),
+            members_version: self.local_store.members().version,
+            node: self.local_store.node.clone(),
             from: peer.exchange.borrow().position(),
             held: peer.exchange.borrow().held(),
         };
@@ -196,7 +196,7 @@
         else {
             return None;
         };
-        self.keeper.hear_directory(directory, sent);
+        self.local_store.apply_directory_mark(directory, sent);
         self.tell_newer_stores(peer, members_version).await;
         peer.silent.replace(silent);
         let page = Page {
@@ -206,9 +206,9 @@
             complete,
             members_version,
         };
-        let holds = |digest| self.keeper.holds(digest);
+        let holds = |digest| self.local_store.holds(digest);
         peer.exchange.borrow_mut().take(page, holds);
-        if !self.keeper.complete() || !peer.exchange.borrow().caught_up() {
+        if !self.local_store.is_complete() || !peer.exchange.borrow().caught_up() {
             self.fetch_missing(peer).await?;
         }
         peer.exchange.borrow_mut().note_end();
@@ -219,11 +219,11 @@
     /// A peer that goes by an older list is told of the newer one: a change waits for it,
     /// and the key-value service may turn it away for long.
     async fn tell_newer_stores(&self, peer: &Peer, of_peer: u64) {
-        let members = self.keeper.members();
-        if of_peer >= members.version || members.get(&self.keeper.node).is_none() {
+        let members = self.local_store.members();
+        if of_peer >= members.version || members.get(&self.local_store.node).is_none() {
             return;
         }
-        let request = Request::NewerStores((*self.keeper.stores()).clone());
+        let request = Request::NewerStoreGroups((*self.local_store.stores()).clone());
         // A hint: the next comparison tells again.
         let _ = self.call(peer, request).await;
     }
@@ -232,7 +232,7 @@
     /// it does not deliver stays missing, and is asked for again.
     async fn fetch_missing(&self, peer: &Peer) -> Option<()> {
         let missing = || {
-            let holds = |digest| self.keeper.holds(digest);
+            let holds = |digest| self.local_store.holds(digest);
             peer.exchange.borrow_mut().missing(holds)
         };
         let digests = missing();
@@ -250,7 +250,7 @@
             let Reply::Fetched {
                 journal,
                 records,
-                forgotten,
+                expired: forgotten,
             } = reply
             else {
                 return None;
@@ -258,9 +258,9 @@
             peer.exchange.borrow_mut().forget(journal, &forgotten);
             let mut kept = Vec::new();
             for record in records {
-                let keeper = self.keeper.clone();
+                let local_store = self.local_store.clone();
                 kept.push(tokio::task::spawn_local(async move {
-                    keeper.keep(record).await
+                    local_store.store_record(record).await
                 }));
             }
             for result in kept {
@@ -281,7 +281,7 @@
     /// Whether so many peers have been caught up with that no kept record can
     /// stand only elsewhere.
     pub fn caught_up_with_group(&self) -> bool {
-        let members = self.keeper.members();
+        let members = self.local_store.members();
         caught_up_with_group(&members, &self.tolerance, |node| {
             self.caught_up_with(node, members.version)
         })
@@ -290,10 +290,11 @@
     /// A disk that lost its content is complete again once it has caught up
     /// with the group.
     fn judge_completeness(&self) {
-        let waits = !self.keeper.complete() && self.keeper.is_listed_with_disk();
+        let waits =
+            !self.local_store.is_complete() && self.local_store.is_listed_with_current_disk();
         if waits && self.caught_up_with_group() {
-            self.keeper.set_complete();
-            let detail = format!("members_version={}", self.keeper.members().version);
+            self.local_store.declare_complete();
+            let detail = format!("members_version={}", self.local_store.members().version);
             observe::event(Event::StoreComplete, &detail);
         }
     }
--- a/crates/stageyoke-store/tests/bounds_test.rs
+++ b/crates/stageyoke-store/tests/bounds_test.rs
@@ -11,8 +11,8 @@
 
 use rstest::rstest;
 use stageyoke_directory::{GroupNumber, Member, MemberState, Members, StoreGroups};
-use stageyoke_store::keeper::Keeper;
 use stageyoke_store::keys::TurnKey;
+use stageyoke_store::local_store::LocalStore;
 use stageyoke_store::message::{ChainPart, JournalPosition, Record, Refusal, Reply, Request};
 use stageyoke_store::segment::{DataFolder, encode_clock, encode_record};
 use stageyoke_store::{RecentTurns, StoreLimits};
@@ -26,7 +26,7 @@
     Record::Reserve {
         program: Text::from(format!("program-{number}")),
         turn: Text::from(format!("turn-{number}")),
-        most: 100,
+        max_tokens: 100,
     }
 }
 
@@ -45,17 +45,18 @@
     }
 }
 
-fn open(path: &Path, limits: StoreLimits) -> Rc<Keeper> {
+fn open(path: &Path, limits: StoreLimits) -> Rc<LocalStore> {
     open_disk(path, limits, 2)
 }
 
 /// The same for a start that draws this number.
-fn open_disk(path: &Path, limits: StoreLimits, drawn: u64) -> Rc<Keeper> {
+fn open_disk(path: &Path, limits: StoreLimits, drawn: u64) -> Rc<LocalStore> {
     let folder = DataFolder::open(path).expect("folder");
     let recovered = folder.recover(drawn, false).expect("recover");
     let node = Text::from(NODE);
-    let (keeper, results) = Keeper::open(node, folder, recovered, limits).expect("threads");
-    let keeper = Rc::new(keeper);
+    let (local_store, results) =
+        LocalStore::open(node, folder, recovered, limits).expect("threads");
+    let local_store = Rc::new(local_store);
     let members = Members::default().with(Member {
         node: Text::from(NODE),
         address: Text::from("127.0.0.1:1"),
@@ -63,13 +64,13 @@
         state: MemberState::Active,
         disk: 0,
     });
-    keeper.set_stores(Rc::new(StoreGroups::single(members)));
-    let collector = keeper.clone();
-    tokio::task::spawn_local(async move { collector.collect(results).await });
-    keeper
+    local_store.set_stores(Rc::new(StoreGroups::single(members)));
+    let collector = local_store.clone();
+    tokio::task::spawn_local(async move { collector.process_journal_results(results).await });
+    local_store
 }
 
-async fn append(keeper: &Keeper, record: Record) -> Reply {
+async fn append(local_store: &LocalStore, record: Record) -> Reply {
     let request = Request::Append {
         group: GroupNumber(0),
         members_version: 1,
@@ -77,7 +78,7 @@
         placement: None,
         record,
     };
-    keeper.answer(request).await
+    local_store.handle_request(request).await
 }
 
 fn chain_request(turn: Text) -> Request {
@@ -89,9 +90,9 @@
     }
 }
 
-async fn chain(keeper: &Keeper, turn: &str) -> (usize, String) {
+async fn chain(local_store: &LocalStore, turn: &str) -> (usize, String) {
     let turn = Text::from(turn);
-    match keeper.answer(chain_request(turn)).await {
+    match local_store.handle_request(chain_request(turn)).await {
         Reply::Chain { parts, missing, .. } => (parts.len(), missing.to_string()),
         other => panic!("a chain: {other:?}"),
     }
@@ -111,14 +112,14 @@
         let old = [turn("old", ""), turn("first", "")];
         let young = [turn("second", "first")];
         write_segments(path.path(), &[(0, &old), (10, &[]), (490, &young)]);
-        let keeper = open(path.path(), StoreLimits::default());
-        assert_eq!(chain(&keeper, "old").await, (1, String::new()));
-        keeper.expire().await;
-        while keeper.under_way() > 0 {
+        let local_store = open(path.path(), StoreLimits::default());
+        assert_eq!(chain(&local_store, "old").await, (1, String::new()));
+        local_store.expire_segments().await;
+        while local_store.in_flight_records() > 0 {
             tokio::task::yield_now().await;
         }
-        assert_eq!(chain(&keeper, "old").await, (0, "old".to_owned()));
-        assert_eq!(chain(&keeper, "second").await, (2, String::new()));
+        assert_eq!(chain(&local_store, "old").await, (0, "old".to_owned()));
+        assert_eq!(chain(&local_store, "second").await, (2, String::new()));
         let folder = DataFolder::open(path.path()).expect("folder");
         let left = folder.segment_numbers().expect("numbers");
         assert!(!left.contains(&0), "{left:?}");
@@ -128,7 +129,10 @@
     .await;
 }
 
-async fn digests_from(keeper: &Keeper, from: JournalPosition) -> (Vec<u64>, JournalPosition) {
+async fn digests_from(
+    local_store: &LocalStore,
+    from: JournalPosition,
+) -> (Vec<u64>, JournalPosition) {
     let request = Request::Digests {
         group: GroupNumber(0),
         members_version: 1,
@@ -136,7 +140,7 @@
         from,
         held: JournalPosition::default(),
     };
-    match keeper.answer(request).await {
+    match local_store.handle_request(request).await {
         Reply::Digests { digests, next, .. } => (digests.0, next),
         other => panic!("digests: {other:?}"),
     }
@@ -155,9 +159,9 @@
             path.path(),
             &[(0, &old), (10, &[]), (490, &[turn("young", "")])],
         );
-        let keeper = open(path.path(), StoreLimits::default());
-        let (_, compared_up_to) = digests_from(&keeper, JournalPosition::default()).await;
-        keeper.expire().await;
+        let local_store = open(path.path(), StoreLimits::default());
+        let (_, compared_up_to) = digests_from(&local_store, JournalPosition::default()).await;
+        local_store.expire_segments().await;
         let folder = DataFolder::open(path.path()).expect("folder");
         while folder.segment_numbers().expect("numbers").contains(&0) {
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -180,21 +184,21 @@
         write_segments(path.path(), &[]);
         let in_the_way = path.path().join("stores");
         std::fs::create_dir(&in_the_way).expect("a folder in the file's place");
-        let keeper = open(path.path(), StoreLimits::default());
+        let local_store = open(path.path(), StoreLimits::default());
         tokio::time::sleep(Duration::from_millis(200)).await;
-        assert!(keeper.complete() && !keeper.stores_saved());
-        assert!(!vouches_to_peer(&keeper).await);
+        assert!(local_store.is_complete() && !local_store.has_saved_stores());
+        assert!(!vouches_to_peer(&local_store).await);
         std::fs::remove_dir(&in_the_way).expect("out of the way");
-        keeper.save_stores_again();
-        while !keeper.stores_saved() {
+        local_store.retry_saving_stores();
+        while !local_store.has_saved_stores() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        assert!(vouches_to_peer(&keeper).await);
+        assert!(vouches_to_peer(&local_store).await);
     })
     .await;
 }
 
-async fn vouches_to_peer(keeper: &Keeper) -> bool {
+async fn vouches_to_peer(local_store: &LocalStore) -> bool {
     let request = Request::Digests {
         group: GroupNumber(0),
         members_version: 1,
@@ -202,7 +206,7 @@
         from: JournalPosition::default(),
         held: JournalPosition::default(),
     };
-    let reply = keeper.answer(request).await;
+    let reply = local_store.handle_request(request).await;
     matches!(reply, Reply::Digests { complete: true, .. })
 }
 
@@ -229,30 +233,37 @@
             state_bytes: 64 * 1024,
             ..StoreLimits::default()
         };
-        let keeper = open(path.path(), limits);
+        let local_store = open(path.path(), limits);
         assert!(matches!(
-            append(&keeper, turn("one", "")).await,
-            Reply::Kept { .. }
+            append(&local_store, turn("one", "")).await,
+            Reply::Stored { .. }
         ));
         let mut taken = 0;
-        while matches!(append(&keeper, reserve(taken)).await, Reply::Kept { .. }) {
+        while matches!(
+            append(&local_store, reserve(taken)).await,
+            Reply::Stored { .. }
+        ) {
             taken += 1;
         }
-        assert!(keeper.memory() < limits.state_bytes);
-        let refused = append(&keeper, reserve(taken)).await;
+        assert!(local_store.memory_bytes() < limits.state_bytes);
+        let refused = append(&local_store, reserve(taken)).await;
         assert_eq!(refused, Reply::Refused(Refusal::MemoryFull));
-        let end = append(&keeper, turn("two", "one")).await;
-        assert!(matches!(end, Reply::Kept { .. }), "{end:?}");
-        assert_eq!(chain(&keeper, "two").await, (2, String::new()));
+        let end = append(&local_store, turn("two", "one")).await;
+        assert!(matches!(end, Reply::Stored { .. }), "{end:?}");
+        assert_eq!(chain(&local_store, "two").await, (2, String::new()));
         let mut ends = 0;
         while matches!(
-            append(&keeper, turn(&format!("end-{ends}"), "")).await,
-            Reply::Kept { .. }
+            append(&local_store, turn(&format!("end-{ends}"), "")).await,
+            Reply::Stored { .. }
         ) {
             ends += 1;
         }
         let most = limits.state_bytes + 1024;
-        assert!(keeper.memory() <= most, "{}", keeper.memory());
+        assert!(
+            local_store.memory_bytes() <= most,
+            "{}",
+            local_store.memory_bytes()
+        );
         assert!(ends > 0);
     })
     .await;
@@ -265,10 +276,10 @@
     local(async {
         let path = tempfile::tempdir().expect("folder");
         write_segments(path.path(), &[(0, &[turn("one", "")]), (1, &[])]);
-        let keeper = open(path.path(), StoreLimits::default());
+        let local_store = open(path.path(), StoreLimits::default());
         std::fs::remove_file(path.path().join("segment-0000000000")).expect("remove");
         let turn = Text::from("one");
-        let reply = keeper.answer(chain_request(turn)).await;
+        let reply = local_store.handle_request(chain_request(turn)).await;
         assert_eq!(reply, Reply::Refused(Refusal::DiskRefused));
     })
     .await;
@@ -280,8 +291,8 @@
     local(async {
         let path = tempfile::tempdir().expect("folder");
         write_segments(path.path(), &[]);
-        let keeper = open(path.path(), StoreLimits::default());
-        let reply = append(&keeper, Record::Clock { seconds: 9 }).await;
+        let local_store = open(path.path(), StoreLimits::default());
+        let reply = append(&local_store, Record::Clock { seconds: 9 }).await;
         assert!(matches!(reply, Reply::Refused(_)), "{reply:?}");
     })
     .await;
@@ -297,13 +308,15 @@
             backlog_bytes: 1,
             ..StoreLimits::default()
         };
-        let keeper = open(path.path(), limits);
-        let (first, second) =
-            tokio::join!(append(&keeper, reserve(1)), append(&keeper, reserve(2)),);
-        assert!(matches!(first, Reply::Kept { .. }), "{first:?}");
+        let local_store = open(path.path(), limits);
+        let (first, second) = tokio::join!(
+            append(&local_store, reserve(1)),
+            append(&local_store, reserve(2)),
+        );
+        assert!(matches!(first, Reply::Stored { .. }), "{first:?}");
         assert_eq!(second, Reply::Refused(Refusal::DiskRefused));
-        let later = append(&keeper, reserve(2)).await;
-        assert!(matches!(later, Reply::Kept { .. }), "{later:?}");
+        let later = append(&local_store, reserve(2)).await;
+        assert!(matches!(later, Reply::Stored { .. }), "{later:?}");
     })
     .await;
 }
@@ -314,7 +327,7 @@
     local(async {
         let path = tempfile::tempdir().expect("folder");
         write_segments(path.path(), &[]);
-        let keeper = open(path.path(), StoreLimits::default());
+        let local_store = open(path.path(), StoreLimits::default());
         let held = JournalPosition {
             journal: 5,
             next: 7,
@@ -326,14 +339,14 @@
             from: JournalPosition::default(),
             held,
         };
-        keeper.answer(request).await;
-        assert_eq!(keeper.held_by("gone"), held);
-        let members = keeper.members();
+        local_store.handle_request(request).await;
+        assert_eq!(local_store.held_by("gone"), held);
+        let members = local_store.members();
         let changed = members
             .changing_to(members.list_without("another"))
             .settle();
-        keeper.set_stores(Rc::new(StoreGroups::single(changed)));
-        assert_eq!(keeper.held_by("gone"), JournalPosition::default());
+        local_store.set_stores(Rc::new(StoreGroups::single(changed)));
+        assert_eq!(local_store.held_by("gone"), JournalPosition::default());
     })
     .await;
 }
--- a/crates/stageyoke-store/tests/disk_test.rs
+++ b/crates/stageyoke-store/tests/disk_test.rs
@@ -17,7 +17,7 @@
         previous: Text::default(),
         input: Blob::from(vec![7; (number % 50) as usize]),
         output: Blob::from(b"said\n".to_vec()),
-        used: number,
+        used_tokens: number,
         retention_seconds: 60,
     })
 }
@@ -75,7 +75,7 @@
         "a restart keeps it"
     );
     assert_eq!(
-        again.state.end().journal,
+        again.state.journal_end().journal,
         2,
         "its journal counts anew, under a name of its own"
     );
@@ -145,7 +145,7 @@
             .iter()
             .all(|segment| segment.records == 1)
     );
-    assert_eq!(recovered.torn, 1);
+    assert_eq!(recovered.torn_segments, 1);
     fs::remove_dir_all(path.path()).expect("remove");
 }
 
--- a/crates/stageyoke-store/tests/group_test.rs
+++ b/crates/stageyoke-store/tests/group_test.rs
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use stageyoke_directory::{GroupNumber, Member, MemberState, Members, StoreGroups, Tolerance};
 use stageyoke_store::frame;
-use stageyoke_store::keeper::{Keeper, SilentSince};
+use stageyoke_store::local_store::{LocalStore, SilentSince};
 use stageyoke_store::message::{JournalPosition, Numbered, Record, Reply, Request};
 use stageyoke_store::rank_load::Ranked;
 use stageyoke_store::segment::DataFolder;
@@ -33,7 +33,7 @@
 }
 
 struct Store {
-    keeper: Rc<Keeper>,
+    local_store: Rc<LocalStore>,
     address: SocketAddr,
     tasks: Vec<JoinHandle<()>>,
     folder: TempDir,
@@ -52,17 +52,20 @@
             .expect("recover");
         let node = Text::from(format!("store-{number}"));
         let limits = StoreLimits::default();
-        let (keeper, results) = Keeper::open(node, data, recovered, limits).expect("threads");
-        let keeper = Rc::new(keeper);
+        let (local_store, results) =
+            LocalStore::open(node, data, recovered, limits).expect("threads");
+        let local_store = Rc::new(local_store);
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
-        let collector = keeper.clone();
+        let collector = local_store.clone();
         let tasks = vec![
-            tokio::task::spawn_local(server::serve(keeper.clone(), listener)),
-            tokio::task::spawn_local(async move { collector.collect(results).await }),
+            tokio::task::spawn_local(server::serve(local_store.clone(), listener)),
+            tokio::task::spawn_local(
+                async move { collector.process_journal_results(results).await },
+            ),
         ];
         Self {
-            keeper,
+            local_store,
             address,
             tasks,
             folder,
@@ -77,11 +80,11 @@
 fn list(stores: &[Store]) -> Rc<StoreGroups> {
     let members = stores.iter().fold(Members::default(), |list, store| {
         list.with(Member {
-            node: store.keeper.node.clone(),
+            node: store.local_store.node.clone(),
             address: Text::from(store.address.to_string()),
             zone: Text::from("zone"),
             state: MemberState::Active,
-            disk: store.keeper.disk(),
+            disk: store.local_store.disk(),
         })
     });
     Rc::new(StoreGroups::single(members))
@@ -103,7 +106,7 @@
     }
     let members = list(&stores);
     for store in &stores {
-        store.keeper.set_stores(members.clone());
+        store.local_store.set_stores(members.clone());
     }
     let group = Rc::new(Groups::new(Text::from("zone"), tolerance()));
     group.follow(&members);
@@ -114,7 +117,7 @@
     Record::Reserve {
         program: Text::from("program"),
         turn: Text::from(turn),
-        most: 100,
+        max_tokens: 100,
     }
 }
 
@@ -202,7 +205,7 @@
         stores.push(Store::start(2, false).await);
         let members = list(&stores);
         for store in &stores {
-            store.keeper.set_stores(members.clone());
+            store.local_store.set_stores(members.clone());
         }
         let group = Groups::new(Text::from("zone"), tolerance());
         group.follow(&members);
@@ -260,17 +263,17 @@
         stores[last] = Store::start(last, false).await;
         let members = list(&stores);
         for store in &stores {
-            store.keeper.set_stores(later(&members, 3));
+            store.local_store.set_stores(later(&members, 3));
         }
-        assert!(!stores[last].keeper.complete());
-        let peers = Rc::new(Peers::new(stores[last].keeper.clone(), tolerance()));
-        peers.follow(&stores[last].keeper.members());
-        while !stores[last].keeper.complete() {
+        assert!(!stores[last].local_store.is_complete());
+        let peers = Rc::new(Peers::new(stores[last].local_store.clone(), tolerance()));
+        peers.follow(&stores[last].local_store.members());
+        while !stores[last].local_store.is_complete() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         for number in 0..40 {
             let digest = turn(&format!("turn-{number}"), "").digest();
-            assert!(stores[last].keeper.holds(digest));
+            assert!(stores[last].local_store.holds(digest));
         }
     });
     let in_time = tokio::time::timeout(WITHIN, test).await;
@@ -287,9 +290,9 @@
             let store = stores.remove(0);
             store.stop();
             let again = Store::start_in(number, false, store.folder).await;
-            assert!(again.keeper.complete());
-            assert!(again.keeper.holds(turn("one", "").digest()));
-            assert!(again.keeper.holds(reserve("two").digest()));
+            assert!(again.local_store.is_complete());
+            assert!(again.local_store.holds(turn("one", "").digest()));
+            assert!(again.local_store.holds(reserve("two").digest()));
             stores.push(again);
         }
     })
@@ -302,7 +305,7 @@
         let (stores, group) = group_of(3).await;
         let newer = later(&group.stores(), 2);
         for store in &stores {
-            store.keeper.set_stores(newer.clone());
+            store.local_store.set_stores(newer.clone());
         }
         let error = group
             .append(turn("one", ""), SHORT)
@@ -326,12 +329,12 @@
         let grown = list(&stores);
         let left = stores.remove(0);
         let members = grown.group(GroupNumber(0)).expect("group");
-        let rest = members.list_without(&left.keeper.node);
+        let rest = members.list_without(&left.local_store.node);
         let newest = members.changing_to(rest).settle();
         let newest = Rc::new(StoreGroups::single(newest));
         assert!(newest.version > group.stores().version + 1);
         for store in &stores {
-            store.keeper.set_stores(newest.clone());
+            store.local_store.set_stores(newest.clone());
         }
         left.stop();
         let refused = group.append(reserve("one"), SHORT).await.map(drop);
@@ -351,12 +354,12 @@
 async fn what_is_on_its_way_to_the_disk_is_not_written_twice() {
     local(async {
         let store = Store::start(0, true).await;
-        let before = store.keeper.end().next;
-        let keep = || store.keeper.keep(turn("one", ""));
+        let before = store.local_store.journal_end().next;
+        let keep = || store.local_store.store_record(turn("one", ""));
         let kept = tokio::join!(keep(), keep(), keep(), keep());
         assert_eq!(kept, (true, true, true, true));
-        assert_eq!(store.keeper.end().next, before + 1);
-        assert_eq!(store.keeper.under_way(), 0);
+        assert_eq!(store.local_store.journal_end().next, before + 1);
+        assert_eq!(store.local_store.in_flight_records(), 0);
     })
     .await;
 }
@@ -383,7 +386,7 @@
                     _ => Reply::Fetched {
                         journal: 9,
                         records: List::default(),
-                        forgotten: List::default(),
+                        expired: List::default(),
                     },
                 };
                 let number = asked.number;
@@ -416,11 +419,11 @@
             tokio::task::spawn_local(withholding_peer(listener));
         }
         let stores = Rc::new(StoreGroups::single(members.clone()));
-        wiped.keeper.set_stores(stores);
-        let peers = Rc::new(Peers::new(wiped.keeper.clone(), tolerance()));
+        wiped.local_store.set_stores(stores);
+        let peers = Rc::new(Peers::new(wiped.local_store.clone(), tolerance()));
         peers.follow(&members);
         tokio::time::sleep(Duration::from_millis(600)).await;
-        assert!(!wiped.keeper.complete());
+        assert!(!wiped.local_store.is_complete());
         assert!(!peers.caught_up_with("store-1", 0));
         assert!(!peers.in_step("store-1", 1));
     })
@@ -434,19 +437,19 @@
     local(async {
         let (stores, _) = group_of(3).await;
         let spare = Store::start(3, false).await;
-        let silent_for = |keeper: &Keeper, milliseconds: u64| {
+        let silent_for = |local_store: &LocalStore, milliseconds: u64| {
             let since = Instant::now() - Duration::from_millis(milliseconds);
-            let node = stores[2].keeper.node.clone();
-            keeper.set_silent_peers(vec![SilentSince { node, since }]);
+            let node = stores[2].local_store.node.clone();
+            local_store.set_silent_peers(vec![SilentSince { node, since }]);
         };
-        silent_for(&stores[0].keeper, 9_000);
-        silent_for(&stores[1].keeper, 4_000);
+        silent_for(&stores[0].local_store, 9_000);
+        silent_for(&stores[1].local_store, 4_000);
         stores[2].stop();
-        spare.keeper.set_stores(list(&stores));
-        spare.keeper.fill_up_for(Some(GroupNumber(0)));
-        let peers = Rc::new(Peers::new(spare.keeper.clone(), tolerance()));
+        spare.local_store.set_stores(list(&stores));
+        spare.local_store.backfill_for(Some(GroupNumber(0)));
+        let peers = Rc::new(Peers::new(spare.local_store.clone(), tolerance()));
         assert_eq!(peers.told_silent_for("store-2"), None);
-        peers.follow(&spare.keeper.members());
+        peers.follow(&spare.local_store.members());
         let told = |least: u64| {
             let told = peers.told_silent_for("store-2");
             told.is_some_and(|told| told >= Duration::from_millis(least))
@@ -455,7 +458,7 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         assert!(told(4_000) && !told(9_000));
-        stores[1].keeper.set_silent_peers(Vec::new());
+        stores[1].local_store.set_silent_peers(Vec::new());
         while peers.told_silent_for("store-2") != Some(Duration::ZERO) {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
--- a/crates/stageyoke-store/tests/joint_lists_test.rs
+++ b/crates/stageyoke-store/tests/joint_lists_test.rs
@@ -11,13 +11,13 @@
 
 use stageyoke_directory::{GroupNumber, Member, MemberState, Members, StoreGroups, Tolerance};
 use stageyoke_store::exchange::{Exchange, Page};
-use stageyoke_store::keeper::Keeper;
+use stageyoke_store::local_store::LocalStore;
 use stageyoke_store::membership::{Oneself, PeerHealth, Step, decide, nothing_kept_yet};
 use stageyoke_store::message::{JournalPosition, Record, Reply, Request};
-use stageyoke_store::segment::{DataFolder, Place};
+use stageyoke_store::segment::{DataFolder, RecordLocation};
 use stageyoke_store::server;
 use stageyoke_store::standing::PeerStanding;
-use stageyoke_store::state::State;
+use stageyoke_store::state::StoreState;
 use stageyoke_store::{ChainOutcome, Groups, StoreLimits};
 use stageyoke_types::{List, Text};
 use support::turn;
@@ -66,27 +66,28 @@
             let recovered = data.recover(1, true).expect("recover");
             let limits = StoreLimits::default();
             let node = Text::from("store-0");
-            let (keeper, results) = Keeper::open(node, data, recovered, limits).expect("threads");
-            let keeper = Rc::new(keeper);
+            let (local_store, results) =
+                LocalStore::open(node, data, recovered, limits).expect("threads");
+            let local_store = Rc::new(local_store);
             let members = (0..3).fold(Members::default(), |list, number| {
                 list.with(member(number, &format!("10.0.0.{number}:7000"), "zone"))
             });
             let old = members.version;
-            keeper.set_stores(Rc::new(StoreGroups::single(members.clone())));
-            let appending = keeper.clone();
+            local_store.set_stores(Rc::new(StoreGroups::single(members.clone())));
+            let appending = local_store.clone();
             let appended = tokio::task::spawn_local(async move {
-                appending.answer(append(old, turn("one", ""))).await
+                appending.handle_request(append(old, turn("one", ""))).await
             });
             tokio::task::yield_now().await;
-            assert_eq!(keeper.under_way(), 1, "it waits for the disk");
+            assert_eq!(local_store.in_flight_records(), 1, "it waits for the disk");
             let mut list = members.list.clone();
             list[2] = member(3, "10.0.0.3:7000", "zone");
             let newer = members.changing_to(list);
-            keeper.set_stores(Rc::new(StoreGroups::single(newer.clone())));
-            while !keeper.stores_saved() {
+            local_store.set_stores(Rc::new(StoreGroups::single(newer.clone())));
+            while !local_store.has_saved_stores() {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
-            let told = keeper.answer(digests(newer.version)).await;
+            let told = local_store.handle_request(digests(newer.version)).await;
             let Reply::Digests {
                 complete,
                 members_version,
@@ -101,11 +102,13 @@
                 (true, newer.version, 0),
                 "a peer is in step with it now, without the record"
             );
-            let collector = keeper.clone();
-            tokio::task::spawn_local(async move { collector.collect(results).await });
+            let collector = local_store.clone();
+            tokio::task::spawn_local(
+                async move { collector.process_journal_results(results).await },
+            );
             let reply = appended.await.expect("answered");
             assert!(
-                !matches!(reply, Reply::Kept { .. }),
+                !matches!(reply, Reply::Stored { .. }),
                 "kept by version {old} after version {} was told of: {reply:?}",
                 newer.version
             );
@@ -114,7 +117,7 @@
 }
 
 struct Store {
-    keeper: Rc<Keeper>,
+    local_store: Rc<LocalStore>,
     address: SocketAddr,
     _folder: tempfile::TempDir,
 }
@@ -125,14 +128,14 @@
     let recovered = data.recover(number as u64 + 1, true).expect("recover");
     let node = Text::from(format!("store-{number}"));
     let limits = StoreLimits::default();
-    let (keeper, results) = Keeper::open(node, data, recovered, limits).expect("threads");
-    let keeper = Rc::new(keeper);
+    let (local_store, results) = LocalStore::open(node, data, recovered, limits).expect("threads");
+    let local_store = Rc::new(local_store);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let address = listener.local_addr().expect("address");
-    let collector = keeper.clone();
-    tokio::task::spawn_local(async move { collector.collect(results).await });
+    let collector = local_store.clone();
+    tokio::task::spawn_local(async move { collector.process_journal_results(results).await });
     let store = Store {
-        keeper,
+        local_store,
         address,
         _folder: folder,
     };
@@ -168,17 +171,17 @@
             let after = change.settle();
             let old = Rc::new(StoreGroups::single(before));
             let new = Rc::new(StoreGroups::single(after.clone()));
-            stores[0].keeper.set_stores(old.clone());
+            stores[0].local_store.set_stores(old.clone());
             for store in &stores[1..] {
-                store.keeper.set_stores(new.clone());
+                store.local_store.set_stores(new.clone());
             }
             // Kept by the newest list: a quorum is two of three.
             for store in &stores[2..] {
                 let reply = store
-                    .keeper
-                    .answer(append(after.version, turn("one", "")))
+                    .local_store
+                    .handle_request(append(after.version, turn("one", "")))
                     .await;
-                assert!(matches!(reply, Reply::Kept { .. }), "{reply:?}");
+                assert!(matches!(reply, Reply::Stored { .. }), "{reply:?}");
             }
             let mut listeners = listeners.into_iter();
             let first = listeners.next().expect("first");
@@ -193,17 +196,17 @@
             // The question waits in the first member's queue of connections.
             tokio::time::sleep(Duration::from_millis(10)).await;
             front.follow(&new);
-            tokio::task::spawn_local(server::serve(stores[0].keeper.clone(), first));
+            tokio::task::spawn_local(server::serve(stores[0].local_store.clone(), first));
             // Of the others that which misses the turn answers first.
             for (store, listener) in stores[1..].iter().zip(held_up) {
-                let keeper = store.keeper.clone();
-                let later = match keeper.holds(turn("one", "").digest()) {
+                let local_store = store.local_store.clone();
+                let later = match local_store.holds(turn("one", "").digest()) {
                     true => Duration::from_millis(400),
                     false => Duration::ZERO,
                 };
                 tokio::task::spawn_local(async move {
                     tokio::time::sleep(later).await;
-                    server::serve(keeper, listener).await
+                    server::serve(local_store, listener).await
                 });
             }
             let outcome = asked.await.expect("answered");
@@ -262,21 +265,21 @@
     }
 }
 
-async fn keeper(number: usize, first_start: bool) -> (Rc<Keeper>, tempfile::TempDir) {
+async fn local_store(number: usize, first_start: bool) -> (Rc<LocalStore>, tempfile::TempDir) {
     let folder = tempfile::tempdir().expect("folder");
     let data = DataFolder::open(folder.path()).expect("open");
     let identity = number as u64 + if first_start { 1 } else { 100 };
     let recovered = data.recover(identity, first_start).expect("recover");
     let node = Text::from(format!("store-{number}"));
     let limits = StoreLimits::default();
-    let (keeper, results) = Keeper::open(node, data, recovered, limits).expect("threads");
-    let keeper = Rc::new(keeper);
-    let collector = keeper.clone();
-    tokio::task::spawn_local(async move { collector.collect(results).await });
-    (keeper, folder)
+    let (local_store, results) = LocalStore::open(node, data, recovered, limits).expect("threads");
+    let local_store = Rc::new(local_store);
+    let collector = local_store.clone();
+    tokio::task::spawn_local(async move { collector.process_journal_results(results).await });
+    (local_store, folder)
 }
 
-async fn caught_up(with: &Keeper, holder: &Keeper, version: u64) -> Exchange {
+async fn caught_up(with: &LocalStore, holder: &LocalStore, version: u64) -> Exchange {
     let mut exchange = Exchange::default();
     page_of(with, &mut exchange, holder, version).await;
     exchange
@@ -297,36 +300,38 @@
             });
             let version = members.version;
             let stores = Rc::new(StoreGroups::single(members.clone()));
-            let (before, _before_folder) = keeper(0, true).await;
-            let (second, _second_folder) = keeper(1, true).await;
-            let (third, _third_folder) = keeper(2, true).await;
-            for keeper in [&before, &second, &third] {
-                keeper.set_stores(stores.clone());
-                while !keeper.stores_saved() {
+            let (before, _before_folder) = local_store(0, true).await;
+            let (second, _second_folder) = local_store(1, true).await;
+            let (third, _third_folder) = local_store(2, true).await;
+            for local_store in [&before, &second, &third] {
+                local_store.set_stores(stores.clone());
+                while !local_store.has_saved_stores() {
                     tokio::time::sleep(Duration::from_millis(1)).await;
                 }
             }
             let members = Rc::new(members);
             let mut tally = AppendTally::new(&members, &tolerance, false).expect("a quorum");
-            let reply = before.answer(append(version, turn("one", ""))).await;
+            let reply = before
+                .handle_request(append(version, turn("one", "")))
+                .await;
             tally.take(&before.node, reply);
             assert!(!tally.kept());
             // The disk is lost; the store comes back, tells its new disk, and fills up.
-            let (again, _again_folder) = keeper(0, false).await;
+            let (again, _again_folder) = local_store(0, false).await;
             again.set_stores(stores.clone());
-            assert!(!again.complete() && !again.is_listed_with_disk());
+            assert!(!again.is_complete() && !again.is_listed_with_current_disk());
             let told = members.with(Member {
                 disk: again.disk(),
                 ..member(0, "10.0.0.0:7000", "zone")
             });
             let told = Rc::new(StoreGroups::single(told));
-            for keeper in [&again, &second, &third] {
-                keeper.set_stores(told.clone());
-                while !keeper.stores_saved() {
+            for local_store in [&again, &second, &third] {
+                local_store.set_stores(told.clone());
+                while !local_store.has_saved_stores() {
                     tokio::time::sleep(Duration::from_millis(1)).await;
                 }
             }
-            assert!(again.is_listed_with_disk());
+            assert!(again.is_listed_with_current_disk());
             let front_version = version;
             let version = version + 1;
             let of_second = caught_up(&second, &again, version).await;
@@ -340,22 +345,24 @@
                     _ => false,
                 }
             ));
-            again.set_complete();
+            again.declare_complete();
             // The front's repeat reaches the second member, within the same try.
-            let reply = second.answer(append(front_version, turn("one", ""))).await;
+            let reply = second
+                .handle_request(append(front_version, turn("one", "")))
+                .await;
             tally.take(&second.node, reply);
             let kept = tally.kept();
             // Another front asks.
             let mut asked = ChainTally::new(&members, &tolerance).expect("a quorum");
-            for keeper in [&again, &third] {
-                let reply = keeper
-                    .answer(Request::Chain {
+            for local_store in [&again, &third] {
+                let reply = local_store
+                    .handle_request(Request::Chain {
                         group: GroupNumber(0),
                         members_version: version,
                         turn: Text::from("one"),
                     })
                     .await;
-                asked.take(&keeper.node, reply);
+                asked.take(&local_store.node, reply);
             }
             let absent = asked.step() == ChainStep::Absent;
             assert!(!(kept && absent), "a kept turn is told as absent");
@@ -367,8 +374,8 @@
 /// the peer passes its time: what was in it is delivered by nobody, ever.
 #[test]
 fn what_expired_between_page_and_fetch_is_not_waited_for() {
-    let place = Place::default();
-    let mut peer = State::new(7);
+    let place = RecordLocation::default();
+    let mut peer = StoreState::new(7);
     for number in 0..6 {
         peer.add(&turn(&format!("turn-{number}"), ""), place, 0);
     }
@@ -383,7 +390,7 @@
         .collect();
     for _ in 0..20 {
         exchange.note_fetched();
-        let reply = peer.digests(exchange.position(), standing, Default::default());
+        let reply = peer.digests_reply(exchange.position(), standing, Default::default());
         let Reply::Digests {
             digests,
             next,
@@ -408,7 +415,7 @@
         let (delivered, forgotten): (Vec<u64>, Vec<u64>) =
             missing.into_iter().partition(|digest| peer.holds(*digest));
         held.extend(delivered);
-        exchange.forget(peer.end().journal, &forgotten);
+        exchange.forget(peer.journal_end().journal, &forgotten);
         exchange.missing(|digest| held.contains(&digest));
         exchange.note_end();
     }
@@ -438,23 +445,28 @@
             let recovered = data.recover(2, false).expect("recover");
             let node = Text::from("store-0");
             let limits = StoreLimits::default();
-            let (keeper, results) = Keeper::open(node, data, recovered, limits).expect("threads");
-            let keeper = Rc::new(keeper);
-            let collector = keeper.clone();
-            tokio::task::spawn_local(async move { collector.collect(results).await });
+            let (local_store, results) =
+                LocalStore::open(node, data, recovered, limits).expect("threads");
+            let local_store = Rc::new(local_store);
+            let collector = local_store.clone();
+            tokio::task::spawn_local(
+                async move { collector.process_journal_results(results).await },
+            );
             let members = Members::default().with(member(0, "10.0.0.0:7000", "zone"));
             let version = members.version;
-            keeper.set_stores(Rc::new(StoreGroups::single(members)));
-            while !keeper.stores_saved() {
+            local_store.set_stores(Rc::new(StoreGroups::single(members)));
+            while !local_store.has_saved_stores() {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
-            let reply = keeper.answer(append(version, turn("one", ""))).await;
-            assert!(matches!(reply, Reply::Kept { .. }), "{reply:?}");
+            let reply = local_store
+                .handle_request(append(version, turn("one", "")))
+                .await;
+            assert!(matches!(reply, Reply::Stored { .. }), "{reply:?}");
         })
         .await;
 }
 
-async fn page_of(peer: &Keeper, exchange: &mut Exchange, holder: &Keeper, version: u64) {
+async fn page_of(peer: &LocalStore, exchange: &mut Exchange, holder: &LocalStore, version: u64) {
     exchange.note_fetched();
     let question = Request::Digests {
         group: GroupNumber(0),
@@ -470,7 +482,7 @@
         complete,
         members_version,
         ..
-    } = peer.answer(question).await
+    } = peer.handle_request(question).await
     else {
         panic!("digests");
     };
@@ -500,41 +512,45 @@
             let change = old.changing_to(List(vec![entry(0), entry(1), entry(3)]));
             let old_stores = Rc::new(StoreGroups::single(old.clone()));
             let new_stores = Rc::new(StoreGroups::single(change.clone()));
-            let (first, _first) = keeper(0, true).await;
-            let (third, _third) = keeper(2, true).await;
-            let (joined, _joined) = keeper(3, false).await;
+            let (first, _first) = local_store(0, true).await;
+            let (third, _third) = local_store(2, true).await;
+            let (joined, _joined) = local_store(3, false).await;
             // Store 1 by hand: its results are taken when its disk is done.
             let folder = tempfile::tempdir().expect("folder");
             let data = DataFolder::open(folder.path()).expect("open");
             let recovered = data.recover(2, true).expect("recover");
             let limits = StoreLimits::default();
             let node = Text::from("store-1");
-            let (slow, results) = Keeper::open(node, data, recovered, limits).expect("threads");
+            let (slow, results) = LocalStore::open(node, data, recovered, limits).expect("threads");
             let slow = Rc::new(slow);
-            for keeper in [&first, &slow, &third] {
-                keeper.set_stores(old_stores.clone());
+            for local_store in [&first, &slow, &third] {
+                local_store.set_stores(old_stores.clone());
             }
-            let saved = async |keeper: &Keeper| {
-                while !keeper.stores_saved() {
+            let saved = async |local_store: &LocalStore| {
+                while !local_store.has_saved_stores() {
                     tokio::time::sleep(Duration::from_millis(1)).await;
                 }
             };
             let old_list = Rc::new(old.clone());
             let mut tally = AppendTally::new(&old_list, &tolerance, false).expect("a quorum");
-            let reply = third.answer(append(old.version, turn("one", ""))).await;
+            let reply = third
+                .handle_request(append(old.version, turn("one", "")))
+                .await;
             tally.take(&third.node, reply);
             let appending = slow.clone();
             let version = old.version;
             let appended = tokio::task::spawn_local(async move {
-                appending.answer(append(version, turn("one", ""))).await
+                appending
+                    .handle_request(append(version, turn("one", "")))
+                    .await
             });
             tokio::task::yield_now().await;
             // Store 3 has caught up; the change is proposed, 0 and 1 hear of it.
             joined.set_stores(new_stores.clone());
-            joined.set_complete();
-            for keeper in [&first, &slow] {
-                keeper.set_stores(new_stores.clone());
-                saved(keeper).await;
+            joined.declare_complete();
+            for local_store in [&first, &slow] {
+                local_store.set_stores(new_stores.clone());
+                saved(local_store).await;
             }
             saved(&joined).await;
             let mut of_slow = Exchange::default();
@@ -544,11 +560,11 @@
                 page_of(&first, &mut of_first, &joined, change.version).await;
             }
             let is_fenced = fenced(&change, &tolerance, |member| match member.node.as_str() {
-                "store-0" => first.complete() && first.stores_saved(),
+                "store-0" => first.is_complete() && first.has_saved_stores(),
                 "store-1" => of_slow.in_step(change.version),
                 _ => false,
             });
-            let shared = SharedEnd::under(&change, None, is_fenced, first.end());
+            let shared = SharedEnd::under(&change, None, is_fenced, first.journal_end());
             let holds = |node: &str| shared.is_some_and(|end| end.held_by(first.held_by(node)));
             let peers: Vec<PeerHealth> = [1, 2, 3]
                 .into_iter()
@@ -561,7 +577,7 @@
                 .collect();
             let oneself = Oneself {
                 entry: entry(0),
-                complete: first.complete(),
+                complete: first.is_complete(),
                 caught_up: true,
                 retiring: false,
                 surplus: false,
@@ -575,23 +591,28 @@
             let step = decide(&change, &oneself, &peers, &tolerance);
             assert_eq!(step, Step::Change(settled.clone()), "it is settled");
             let settled_stores = Rc::new(StoreGroups::single(settled.clone()));
-            for keeper in [&first, &joined] {
-                keeper.set_stores(settled_stores.clone());
+            for local_store in [&first, &joined] {
+                local_store.set_stores(settled_stores.clone());
             }
             // The disk of 1 is done.
             let collector = slow.clone();
-            tokio::task::spawn_local(async move { collector.collect(results).await });
+            tokio::task::spawn_local(
+                async move { collector.process_journal_results(results).await },
+            );
             tally.take(&slow.node, appended.await.expect("answered"));
             let kept = tally.kept();
             let settled_list = Rc::new(settled.clone());
             let mut asked = ChainTally::new(&settled_list, &tolerance).expect("a quorum");
-            for keeper in [&first, &joined] {
+            for local_store in [&first, &joined] {
                 let question = Request::Chain {
                     group: GroupNumber(0),
                     members_version: settled.version,
                     turn: Text::from("one"),
                 };
-                asked.take(&keeper.node, keeper.answer(question).await);
+                asked.take(
+                    &local_store.node,
+                    local_store.handle_request(question).await,
+                );
             }
             let absent = asked.step() == ChainStep::Absent;
             assert!(
--- a/crates/stageyoke-store/tests/load_test.rs
+++ b/crates/stageyoke-store/tests/load_test.rs
@@ -7,21 +7,21 @@
 use stageyoke_store::LoadBoard;
 use stageyoke_store::extension::RankLoad;
 use stageyoke_store::load::PlacedTurns;
-use stageyoke_store::message::{OthersReport, Placement};
+use stageyoke_store::message::{OtherFrontsReport, Placement};
 use stageyoke_store::rank_load::{RankBoard, RankReports, Ranked};
 use stageyoke_types::List;
 
-fn at(replica: u32, lasting_milliseconds: u32) -> Placement {
+fn at(replica: u32, max_duration_milliseconds: u32) -> Placement {
     Placement {
         replica,
-        lasting_milliseconds,
+        max_duration_milliseconds,
     }
 }
 
 fn count(placed: &mut PlacedTurns, turn: u64, replica: u32) -> u16 {
     let others = placed.others(turn);
     let entry = others.iter().find(|entry| entry.replica == replica);
-    entry.map_or(0, |entry| entry.under_way)
+    entry.map_or(0, |entry| entry.in_flight)
 }
 
 #[tokio::test(start_paused = true)]
@@ -66,8 +66,8 @@
     let board = LoadBoard::new(1);
     let mut placed = PlacedTurns::default();
     placed.begin(1, at(7, 4_000));
-    let told = OthersReport {
-        placed: placed.others(9),
+    let told = OtherFrontsReport {
+        placed_turns: placed.others(9),
         ..Default::default()
     };
     board.hear(GroupNumber(2), told);
@@ -114,7 +114,7 @@
     RankLoad {
         service: RANKED.service,
         rank,
-        under_way,
+        in_flight: under_way,
     }
 }
 
@@ -164,5 +164,5 @@
     board.tell_others();
     let told = board.told().unwrap_or_default();
     assert_eq!(told.len(), 32);
-    assert!(told.iter().all(|load| load.under_way == 7));
+    assert!(told.iter().all(|load| load.in_flight == 7));
 }
--- a/crates/stageyoke-store/tests/owners_test.rs
+++ b/crates/stageyoke-store/tests/owners_test.rs
@@ -12,7 +12,7 @@
 use stageyoke_policy::quota::{Question, QuotaLedger, Verdict};
 use stageyoke_store::Groups;
 use stageyoke_store::frame;
-use stageyoke_store::message::{Numbered, QuotaAnswer, Reply, Request};
+use stageyoke_store::message::{Numbered, QuotaReply, Reply, Request};
 use stageyoke_store::owners::Owners;
 use stageyoke_types::Text;
 use tokio::io::AsyncWriteExt;
@@ -52,8 +52,8 @@
         match request {
             Request::Quota(question) => {
                 self.asked.set(self.asked.get() + 1);
-                let pressed = question.pressed || question.standby;
-                let question = question.checked()?;
+                let pressed = question.forced || question.standby;
+                let question = question.validated()?;
                 let mut ledger = self.ledger.borrow_mut();
                 let verdict = match pressed || ledger.knows_window(question.tenant, now) {
                     true => ledger.ask(&question, now),
@@ -61,20 +61,20 @@
                 };
                 let granted = verdict == Verdict::Granted;
                 let receipt = ledger.receipt(question.tenant, now);
-                let answer = QuotaAnswer {
-                    known: verdict != Verdict::Unknown,
+                let answer = QuotaReply {
+                    decided: verdict != Verdict::Unknown,
                     granted,
                     receipt: receipt.unwrap_or_default().into(),
-                    ..QuotaAnswer::default()
+                    ..QuotaReply::default()
                 };
                 (!self.silent.get()).then_some(Reply::Quota(answer))
             }
             Request::QuotaGranted(question) => {
                 self.told.set(self.told.get() + 1);
-                self.ledger.borrow_mut().count(&question.checked()?, now);
+                self.ledger.borrow_mut().count(&question.validated()?, now);
                 Some(Reply::Pong)
             }
-            Request::QuotaReturned { tenant, receipt } => {
+            Request::QuotaRefund { tenant, receipt } => {
                 let mut ledger = self.ledger.borrow_mut();
                 ledger.take_back(tenant, receipt.into(), now);
                 Some(Reply::Pong)
--- a/crates/stageyoke-store/tests/pace_test.rs
+++ b/crates/stageyoke-store/tests/pace_test.rs
@@ -4,11 +4,11 @@
 
 use rstest::rstest;
 use stageyoke_directory::GroupNumber;
-use stageyoke_store::message::{PaceEntry, SlowReplica};
+use stageyoke_store::message::{LatencyEntry, SlowReplica};
 use stageyoke_store::pace::{HeardPaces, Paces, UntoldPaces};
 
-fn entry(replica: u32, ratio: f64, answers: u16) -> PaceEntry {
-    PaceEntry {
+fn entry(replica: u32, ratio: f64, answers: u16) -> LatencyEntry {
+    LatencyEntry {
         replica,
         log_ratio: (ratio.ln() * 100.0 * f64::from(answers)) as i32,
         answers,
@@ -23,7 +23,7 @@
 #[tokio::test(start_paused = true)]
 async fn slow_replicas_are_told_apart_from_the_usual_ones(#[case] slow: u32) {
     let mut paces = Paces::default();
-    let entries: Vec<PaceEntry> = (0..10)
+    let entries: Vec<LatencyEntry> = (0..10)
         .map(|replica| entry(replica, if replica < slow { 6.0 } else { 1.2 }, 5))
         .collect();
     paces.take(&entries);
@@ -34,7 +34,7 @@
         paces
             .slow()
             .iter()
-            .all(|slow| (45..=55).contains(&slow.tenths))
+            .all(|slow| (45..=55).contains(&slow.slowdown_tenths))
     );
 }
 
@@ -43,7 +43,7 @@
 #[tokio::test(start_paused = true)]
 async fn few_answers_make_no_replica_slow_and_keep_a_slow_one() {
     let mut paces = Paces::default();
-    let usual: Vec<PaceEntry> = (1..10).map(|replica| entry(replica, 1.0, 50)).collect();
+    let usual: Vec<LatencyEntry> = (1..10).map(|replica| entry(replica, 1.0, 50)).collect();
     paces.take(&usual);
     paces.take(&[entry(0, 8.0, 1)]);
     assert!(paces.slow().is_empty());
@@ -65,7 +65,7 @@
     let heard = HeardPaces::default();
     heard.hear(&[SlowReplica {
         replica: 1,
-        tenths: 35,
+        slowdown_tenths: 35,
     }]);
     assert_eq!((heard.slowness(1), heard.slowness(2)), (3.5, 1.0));
     tokio::time::advance(Duration::from_millis(1100)).await;
--- a/crates/stageyoke-store/tests/plans/store.rs
+++ b/crates/stageyoke-store/tests/plans/store.rs
@@ -13,10 +13,10 @@
     Oneself, PeerHealth, SharedEnd, Step, caught_up_with_group, decide, fenced,
 };
 use stageyoke_store::message::{ChainPart, JournalPosition, Record, RecordDigest, Reply};
-use stageyoke_store::segment::Place;
+use stageyoke_store::segment::RecordLocation;
 use stageyoke_store::spare::LOST_AFTER;
 use stageyoke_store::standing::Standing;
-use stageyoke_store::state::{ChainStep, State};
+use stageyoke_store::state::{ChainLink, StoreState};
 use stageyoke_types::{List, Text};
 
 /// A store that compared so lately, and is no member, is about to be one, ms.
@@ -63,7 +63,7 @@
     /// Starts of the process: each counts its journal anew.
     lives: u64,
     unsynced: Vec<Unsynced>,
-    state: State,
+    state: StoreState,
     standing: Standing,
     exchanges: HashMap<Text, Exchange>,
     held_by: HashMap<Text, JournalPosition>,
@@ -116,7 +116,7 @@
             replace_after: LOST_AFTER,
             gone: false,
             unsynced: Vec::new(),
-            state: State::new(identity),
+            state: StoreState::new(identity),
             standing: Standing::new(entry.node.clone(), disk.stores.clone(), completeness),
             exchanges: HashMap::new(),
             held_by: HashMap::new(),
@@ -171,10 +171,10 @@
     pub fn start(&mut self, now: u64) {
         self.running = true;
         self.lives += 1;
-        self.state = State::new(self.disk.identity ^ self.lives.rotate_right(8));
+        self.state = StoreState::new(self.disk.identity ^ self.lives.rotate_right(8));
         for record in &self.disk.records {
             if !self.state.holds(record.digest()) {
-                self.state.add(record, Place::default(), 0);
+                self.state.add(record, RecordLocation::default(), 0);
             }
         }
         let node = self.entry.node.clone();
@@ -224,7 +224,8 @@
             .partition(|unsynced| unsynced.at <= now);
         self.unsynced = waiting;
         for unsynced in synced {
-            self.state.add(&unsynced.record, Place::default(), 0);
+            self.state
+                .add(&unsynced.record, RecordLocation::default(), 0);
             self.disk.records.push(unsynced.record);
         }
         self.state.holds(record.digest())
@@ -236,10 +237,10 @@
             Record::Reserve { program, .. } => self.state.ledger_entries(program),
             _ => List::default(),
         };
-        Reply::Kept {
+        Reply::Stored {
             complete: self.standing.complete_for(group),
             ledger,
-            others: Default::default(),
+            other_fronts: Default::default(),
             directory: Default::default(),
         }
     }
@@ -250,8 +251,8 @@
         let parts: Vec<ChainPart> = steps
             .into_iter()
             .filter_map(|step| match step {
-                ChainStep::Known(part) => Some(part),
-                ChainStep::OnDisk(_) => None,
+                ChainLink::Cached(part) => Some(part),
+                ChainLink::OnDisk(_) => None,
             })
             .collect();
         let missing = parts.last().map_or(turn, |last| &last.previous).clone();
@@ -374,7 +375,7 @@
             self.spare_heard_at = Some(now);
         }
         let standing = self.standing.for_peer(group, members_version);
-        let reply = self.state.digests(from, standing, Default::default());
+        let reply = self.state.digests_reply(from, standing, Default::default());
         let Reply::Digests {
             next,
             more,
@@ -477,7 +478,7 @@
             .filter(|member| member.node != self.entry.node)
             .collect();
         let fenced = left_out.fence || self.fenced(&members, tolerance);
-        let end = self.state.end();
+        let end = self.state.journal_end();
         let shared_end = SharedEnd::under(&members, self.shared_end, fenced, end);
         self.shared_end = shared_end;
         let held_by = |node: &Text| self.held_by.get(node).copied().unwrap_or_default();
--- a/crates/stageyoke-store/tests/plans/world.rs
+++ b/crates/stageyoke-store/tests/plans/world.rs
@@ -965,7 +965,7 @@
             Record::Reserve {
                 program,
                 turn,
-                most,
+                max_tokens: most,
             } => {
                 let began = self.calls[call].began;
                 let before = |kept: &&Kept| kept.at < began && kept.program == *program;
@@ -991,7 +991,7 @@
                 at,
                 program: record.program.clone(),
                 turn: record.turn.clone(),
-                amount: record.used,
+                amount: record.used_tokens,
             }),
             _ => {}
         }
@@ -1219,7 +1219,7 @@
     Record::Reserve {
         program: program.clone(),
         turn: turn.clone(),
-        most: 10,
+        max_tokens: 10,
     }
 }
 
@@ -1230,7 +1230,7 @@
         previous: Text::default(),
         input: Blob::from(b"in".to_vec()),
         output: Blob::from(b"out".to_vec()),
-        used: 0,
+        used_tokens: 0,
         retention_seconds: 60,
     })
 }
--- a/crates/stageyoke-store/tests/quota_error_test.rs
+++ b/crates/stageyoke-store/tests/quota_error_test.rs
@@ -14,7 +14,7 @@
 use stageyoke_policy::bucket::Limit;
 use stageyoke_policy::quota::{Question, QuotaLedger, Tolerance, Verdict};
 use stageyoke_store::frame;
-use stageyoke_store::message::{Numbered, QuotaAnswer, QuotaQuestion, Reply, Request};
+use stageyoke_store::message::{Numbered, QuotaReply, QuotaRequest, Reply, Request};
 
 const WINDOW: u64 = 5_000_000;
 const DAY: u64 = 20_000_000;
@@ -180,13 +180,13 @@
 
 /// Bytes on the wire of a question, its answer, a grant that is told, and its receipt.
 fn sizes() -> [usize; 4] {
-    let question = QuotaQuestion::from(question(limit(22.0)));
+    let question = QuotaRequest::from(question(limit(22.0)));
     let number = u64::from(u32::MAX);
     let sent = |content| frame::encode(&Numbered { number, content }).len();
     let answered = |content| frame::encode(&Numbered { number, content }).len();
     [
         sent(Request::Quota(question)),
-        answered(Reply::Quota(QuotaAnswer::default())),
+        answered(Reply::Quota(QuotaReply::default())),
         sent(Request::QuotaGranted(question)),
         answered(Reply::Pong),
     ]
--- a/crates/stageyoke-store/tests/relay_test.rs
+++ b/crates/stageyoke-store/tests/relay_test.rs
@@ -8,9 +8,9 @@
     Acceptable, DirectoryRelay, Member, MemberState, Members, StoreGroups, Tolerance,
 };
 use stageyoke_store::Groups;
+use stageyoke_store::directory_relay::StoreRelay;
 use stageyoke_store::frame;
-use stageyoke_store::message::{CopyMark, Numbered, Reply, Request};
-use stageyoke_store::relay::StoreRelay;
+use stageyoke_store::message::{CopyFreshness, Numbered, Reply, Request};
 use stageyoke_types::{List, Text};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
@@ -36,7 +36,7 @@
         let (named, asked_for) = (named.clone(), asked_for.clone());
         tokio::task::spawn_local(async move {
             while let Ok(asked) = frame::read::<Numbered<Request>>(&mut reader).await {
-                let mark = CopyMark {
+                let mark = CopyFreshness {
                     revision: u64::from(age_milliseconds),
                     age_milliseconds,
                     back_within_milliseconds: 0,
--- a/crates/stageyoke-store/tests/state_test.rs
+++ b/crates/stageyoke-store/tests/state_test.rs
@@ -2,15 +2,15 @@
 
 use stageyoke_directory::{DirectoryMark, GroupNumber};
 use stageyoke_store::LedgerView;
-use stageyoke_store::extension::Extensions;
-use stageyoke_store::frame::{self, Encoded};
+use stageyoke_store::extension::ExtensionFields;
+use stageyoke_store::frame::{self, EncodedMessage};
 use stageyoke_store::keys::TurnKey;
 use stageyoke_store::message::{
     JournalPosition, LedgerEntry, Numbered, Record, Reply, Request, TurnRecord,
 };
-use stageyoke_store::segment::Place;
+use stageyoke_store::segment::RecordLocation;
 use stageyoke_store::standing::PeerStanding;
-use stageyoke_store::state::{ChainStep, State};
+use stageyoke_store::state::{ChainLink, StoreState};
 use stageyoke_types::{Blob, Text};
 
 const RETENTION: u32 = 60;
@@ -28,7 +28,7 @@
         previous: Text::from(previous),
         input: Blob::from(format!("ask {name}\n").into_bytes()),
         output: Blob::from(format!("say {name}\n").into_bytes()),
-        used: 10,
+        used_tokens: 10,
         retention_seconds: RETENTION,
     })
 }
@@ -37,7 +37,7 @@
     Record::Reserve {
         program: Text::from("program"),
         turn: Text::from(turn),
-        most,
+        max_tokens: most,
     }
 }
 
@@ -45,15 +45,15 @@
     Record::Settle {
         program: Text::from("program"),
         turn: Text::from(turn),
-        used,
+        used_tokens: used,
     }
 }
 
-fn chain(state: &State, turn: &str) -> (Vec<String>, String) {
+fn chain(state: &StoreState, turn: &str) -> (Vec<String>, String) {
     let steps = state.chain(&Text::from(turn));
     let parts = steps.iter().map(|step| match step {
-        ChainStep::Known(part) => part,
-        ChainStep::OnDisk(place) => panic!("{place:?} is among the newest"),
+        ChainLink::Cached(part) => part,
+        ChainLink::OnDisk(place) => panic!("{place:?} is among the newest"),
     });
     let parts: Vec<_> = parts.collect();
     let missing = parts.last().map_or(turn, |part| part.previous.as_str());
@@ -62,8 +62,8 @@
 }
 
 /// A place told apart by its number.
-fn place(number: u32) -> Place {
-    Place {
+fn place(number: u32) -> RecordLocation {
+    RecordLocation {
         segment: 1,
         offset: number,
         length: 1,
@@ -72,7 +72,7 @@
 
 #[test]
 fn a_chain_is_read_backwards_to_its_start_or_to_what_is_missing() {
-    let mut state = State::new(1);
+    let mut state = StoreState::new(1);
     state.add(&turn("one", ""), place(0), 0);
     state.add(&turn("two", "one"), place(0), 0);
     state.add(&turn("four", "three"), place(0), 0);
@@ -86,7 +86,7 @@
 
 #[test]
 fn a_settlement_replaces_its_reservation_in_any_order() {
-    let mut state = State::new(1);
+    let mut state = StoreState::new(1);
     state.add(&reserve("a", 100), place(0), 0);
     state.add(&settle("a", 30), place(0), 0);
     state.add(&settle("b", 20), place(0), 0);
@@ -119,8 +119,8 @@
 
 #[test]
 fn digests_lead_to_the_records_that_another_store_misses() {
-    let mut from = State::new(1);
-    let mut to = State::new(2);
+    let mut from = StoreState::new(1);
+    let mut to = StoreState::new(2);
     let records = [turn("one", ""), reserve("r", 9), settle("s", 3)];
     for (number, record) in (0..).zip(&records) {
         from.add(record, place(number), 0);
@@ -131,7 +131,7 @@
         next,
         more,
         ..
-    } = from.digests(
+    } = from.digests_reply(
         JournalPosition::default(),
         VOUCHING,
         DirectoryMark::default(),
@@ -140,14 +140,15 @@
         panic!("digests");
     };
     assert!(!more);
-    assert_eq!(next, from.end());
+    assert_eq!(next, from.journal_end());
     let missing: Vec<u64> = digests
         .iter()
         .copied()
         .filter(|digest| !to.holds(*digest))
         .collect();
-    assert_eq!(from.places(&missing), [place(0), place(2)]);
-    let Reply::Digests { digests, .. } = from.digests(next, VOUCHING, DirectoryMark::default())
+    assert_eq!(from.locations(&missing), [place(0), place(2)]);
+    let Reply::Digests { digests, .. } =
+        from.digests_reply(next, VOUCHING, DirectoryMark::default())
     else {
         panic!("digests");
     };
@@ -156,14 +157,14 @@
 
 #[test]
 fn a_position_in_another_journal_starts_anew() {
-    let mut state = State::new(8);
+    let mut state = StoreState::new(8);
     state.add(&turn("one", ""), place(0), 0);
     let elsewhere = JournalPosition {
         journal: 9,
         next: 1,
     };
     let Reply::Digests { digests, .. } =
-        state.digests(elsewhere, VOUCHING, DirectoryMark::default())
+        state.digests_reply(elsewhere, VOUCHING, DirectoryMark::default())
     else {
         panic!("digests");
     };
@@ -172,7 +173,7 @@
 
 #[test]
 fn a_chain_is_kept_as_long_as_its_youngest_turn() {
-    let mut state = State::new(1);
+    let mut state = StoreState::new(1);
     state.add(&turn("one", ""), place(0), 0);
     state.add(&turn("old", ""), place(0), 0);
     state.add(&turn("two", "one"), place(0), LONG_AFTER);
@@ -202,10 +203,10 @@
         placement: None,
         record: turn("one", ""),
     };
-    let encoded = Encoded::of(&content);
+    let encoded = EncodedMessage::encode(&content);
     for number in [0, 1, u64::MAX] {
         let content = content.clone();
         let whole = frame::encode(&Numbered { number, content });
-        assert_eq!(encoded.frame(number, &Extensions::default()), whole);
+        assert_eq!(encoded.frame(number, &ExtensionFields::default()), whole);
     }
 }
--- a/crates/stageyoke-store/tests/support/mod.rs
+++ b/crates/stageyoke-store/tests/support/mod.rs
@@ -11,7 +11,7 @@
         previous: Text::from(previous),
         input: Blob::from(b"ask\n".to_vec()),
         output: Blob::from(b"say\n".to_vec()),
-        used: 10,
+        used_tokens: 10,
         retention_seconds: 60,
     })
 }
--- a/crates/stageyoke-store/tests/version_one/samples.rs
+++ b/crates/stageyoke-store/tests/version_one/samples.rs
@@ -5,9 +5,10 @@
 use stageyoke_store::frame;
 use stageyoke_store::keys::{ProgramKey, TurnKey};
 use stageyoke_store::message::{
-    ChainPart, CopyMark, JournalPosition, LedgerEntry, LoadEntry, LoadReport, Numbered,
-    OthersReport, PaceEntry, Placement, QuotaAnswer, QuotaQuestion, QuotaReceipt, Record, Refusal,
-    Reply, Request, SeenChange, SeenItem, SilentPeer, SlowReplica, Suspicion, TurnRecord,
+    ChainPart, CopyFreshness, DirectoryChange, DirectoryItem, JournalPosition, LatencyEntry,
+    LedgerEntry, LoadEntry, LoadReport, Numbered, OtherFrontsReport, Placement, QuotaReceipt,
+    QuotaReply, QuotaRequest, Record, Refusal, Reply, Request, SilentPeer, SlowReplica, Suspicion,
+    TurnRecord,
 };
 use stageyoke_store::segment;
 use stageyoke_types::{Blob, List, Text};
@@ -118,15 +119,15 @@
             from: position(5),
             held: position(6),
         },
-        Request::NewerStores(stores()),
-        Request::Placed {
+        Request::NewerStoreGroups(stores()),
+        Request::TurnPlaced {
             turn: 12,
             placement: placement(),
         },
-        Request::Ended { turn: 12 },
+        Request::TurnEnded { turn: 12 },
         Request::Quota(question()),
         Request::QuotaGranted(question()),
-        Request::QuotaReturned {
+        Request::QuotaRefund {
             tenant: 13,
             receipt: receipt(),
         },
@@ -150,12 +151,12 @@
         Request::Append { .. } => "append",
         Request::Chain { .. } => "chain",
         Request::Digests { .. } => "digests",
-        Request::NewerStores(_) => "newer stores",
-        Request::Placed { .. } => "placed",
-        Request::Ended { .. } => "ended",
+        Request::NewerStoreGroups(_) => "newer stores",
+        Request::TurnPlaced { .. } => "placed",
+        Request::TurnEnded { .. } => "ended",
         Request::Quota(_) => "quota",
         Request::QuotaGranted(_) => "quota granted",
-        Request::QuotaReturned { .. } => "quota returned",
+        Request::QuotaRefund { .. } => "quota returned",
         Request::Ping => "ping",
         Request::Items => "items",
         Request::Changes { .. } => "changes",
@@ -168,14 +169,14 @@
 
 pub fn replies() -> Vec<Reply> {
     vec![
-        Reply::Kept {
+        Reply::Stored {
             complete: true,
             ledger: List(vec![LedgerEntry {
                 turn: 17,
                 amount: 18,
                 settled: true,
             }]),
-            others: others(),
+            other_fronts: others(),
             directory: directory(),
         },
         Reply::Chain {
@@ -195,8 +196,8 @@
             }]),
             digests: List(vec![15, 16]),
         },
-        Reply::Quota(QuotaAnswer {
-            known: true,
+        Reply::Quota(QuotaReply {
+            decided: true,
             granted: false,
             retry_after_milliseconds: 250,
             fronts: 73,
@@ -222,7 +223,7 @@
         Reply::Fetched {
             journal: 19,
             records: List(records()),
-            forgotten: List(vec![20]),
+            expired: List(vec![20]),
         },
         Reply::StaleMembers(stores()),
         Reply::Refused(Refusal::NotAMember),
@@ -232,7 +233,7 @@
 /// The name of a frozen reply; see `request_name`.
 pub fn reply_name(reply: &Reply) -> &'static str {
     match reply {
-        Reply::Kept { .. } => "kept",
+        Reply::Stored { .. } => "kept",
         Reply::Chain { .. } => "chain",
         Reply::Digests { .. } => "digests",
         Reply::Quota(_) => "quota",
@@ -255,7 +256,7 @@
         Record::Settle {
             program: Text::from("program-1"),
             turn: Text::from("turn-1"),
-            used: 21,
+            used_tokens: 21,
         },
         Record::Turn(TurnRecord {
             turn: Text::from("turn-1"),
@@ -263,7 +264,7 @@
             previous: Text::from("turn-0"),
             input: Blob::from(b"ask\n".to_vec()),
             output: Blob::from(b"say\n".to_vec()),
-            used: 21,
+            used_tokens: 21,
             retention_seconds: 60,
         }),
         Record::Clock { seconds: 22 },
@@ -302,7 +303,7 @@
     Record::Reserve {
         program: Text::from("program-1"),
         turn: Text::from("turn-1"),
-        most: 80,
+        max_tokens: 80,
     }
 }
 
@@ -311,10 +312,10 @@
         front: 23,
         entries: List(vec![LoadEntry {
             replica: 24,
-            under_way: 3,
+            in_flight: 3,
         }]),
         suspects: List(vec![25]),
-        paces: List(vec![PaceEntry {
+        latencies: List(vec![LatencyEntry {
             replica: 24,
             log_ratio: -12,
             answers: 2,
@@ -322,23 +323,23 @@
     }
 }
 
-fn others() -> OthersReport {
-    OthersReport {
+fn others() -> OtherFrontsReport {
+    OtherFrontsReport {
         entries: List(vec![LoadEntry {
             replica: 24,
-            under_way: 9,
+            in_flight: 9,
         }]),
         suspects: List(vec![Suspicion {
             replica: 25,
             fronts: 2,
         }]),
-        placed: List(vec![LoadEntry {
+        placed_turns: List(vec![LoadEntry {
             replica: 26,
-            under_way: 1,
+            in_flight: 1,
         }]),
-        slow: List(vec![SlowReplica {
+        slow_replicas: List(vec![SlowReplica {
             replica: 27,
-            tenths: 25,
+            slowdown_tenths: 25,
         }]),
     }
 }
@@ -346,19 +347,19 @@
 fn placement() -> Placement {
     Placement {
         replica: 24,
-        lasting_milliseconds: 4_000,
+        max_duration_milliseconds: 4_000,
     }
 }
 
-fn question() -> QuotaQuestion {
-    QuotaQuestion {
+fn question() -> QuotaRequest {
+    QuotaRequest {
         tenant: 13,
         program: 28,
         per_second: 84.0,
         burst: 20.0,
         version: 6,
         standby: true,
-        pressed: false,
+        forced: false,
     }
 }
 
@@ -366,7 +367,7 @@
     QuotaReceipt {
         slot: 29,
         version: 6,
-        life: 30,
+        incarnation: 30,
     }
 }
 
@@ -381,24 +382,24 @@
     }
 }
 
-fn mark() -> CopyMark {
-    CopyMark {
+fn mark() -> CopyFreshness {
+    CopyFreshness {
         revision: 33,
         age_milliseconds: 34,
         back_within_milliseconds: 35,
     }
 }
 
-fn item() -> SeenItem {
-    SeenItem {
+fn item() -> DirectoryItem {
+    DirectoryItem {
         key: Text::from("op/config"),
         value: Blob::from(b"{}".to_vec()),
         revision: 36,
     }
 }
 
-fn change(value: Option<&str>) -> SeenChange {
-    SeenChange {
+fn change(value: Option<&str>) -> DirectoryChange {
+    DirectoryChange {
         key: Text::from("servers/a"),
         value: value.map(|value| Blob::from(value.as_bytes().to_vec())),
         revision: 37,
