--- a/crates/stageyoke-store/tests/versions_test.rs
+++ b/crates/stageyoke-store/tests/versions_test.rs
@@ -7,9 +7,9 @@
 use rstest::rstest;
 use stageyoke_store::StoreClient;
 use stageyoke_store::client::CallError;
-use stageyoke_store::extension::{Deviation, Extensions, RankLoad, VERSION};
-use stageyoke_store::frame::{self, Encoded, Received};
-use stageyoke_store::message::{Numbered, PaceEntry, Reply, Request};
+use stageyoke_store::extension::{Deviation, ExtensionFields, RankLoad, VERSION};
+use stageyoke_store::frame::{self, EncodedMessage, Received};
+use stageyoke_store::message::{LatencyEntry, Numbered, Reply, Request};
 use stageyoke_types::List;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -33,7 +33,7 @@
 
 /// A frame with a field that a later build has added.
 fn frame_of_a_later_build() -> Vec<u8> {
-    let mut bytes = frame::encode_extended(&ping(7), &Extensions::greeting());
+    let mut bytes = frame::encode_with_fields(&ping(7), &ExtensionFields::greeting());
     bytes.extend_from_slice(&[LATER_TAG, 3, 1, 2, 3]);
     let length = (bytes.len() - 4) as u32;
     bytes[..4].copy_from_slice(&length.to_le_bytes());
@@ -52,38 +52,38 @@
 #[tokio::test]
 async fn a_reader_skips_fields_that_it_does_not_know() {
     let bytes = frame_of_a_later_build();
-    let received: Received<Request> = frame::read_extended(&mut bytes.as_slice())
+    let received: Received<Request> = frame::read_with_fields(&mut bytes.as_slice())
         .await
         .expect("read");
     assert_eq!(received.message, ping(7));
-    assert_eq!(received.extensions, Extensions::greeting());
+    assert_eq!(received.extension_fields, ExtensionFields::greeting());
 }
 
 #[tokio::test]
 async fn a_message_of_version_one_has_no_fields() {
     let bytes = frame::encode(&ping(7));
-    let received: Received<Request> = frame::read_extended(&mut bytes.as_slice())
+    let received: Received<Request> = frame::read_with_fields(&mut bytes.as_slice())
         .await
         .expect("read");
-    assert_eq!(received.extensions, Extensions::default());
+    assert_eq!(received.extension_fields, ExtensionFields::default());
 }
 
 /// A store that answers pings: one of version 1 never tells a version.
-async fn answer_pings(listener: TcpListener, tells_version: bool) -> Vec<Extensions> {
+async fn answer_pings(listener: TcpListener, tells_version: bool) -> Vec<ExtensionFields> {
     let (stream, _) = listener.accept().await.expect("accept");
     let (mut reader, mut writer) = stream.into_split();
     let mut heard = Vec::new();
-    while let Ok(received) = frame::read_extended::<Request>(&mut reader).await {
+    while let Ok(received) = frame::read_with_fields::<Request>(&mut reader).await {
         let reply = Numbered {
             number: received.message.number,
             content: Reply::Pong,
         };
         let extensions = match tells_version && heard.is_empty() {
-            true => Extensions::greeting(),
-            false => Extensions::default(),
+            true => ExtensionFields::greeting(),
+            false => ExtensionFields::default(),
         };
-        heard.push(received.extensions);
-        let bytes = frame::encode_extended(&reply, &extensions);
+        heard.push(received.extension_fields);
+        let bytes = frame::encode_with_fields(&reply, &extensions);
         writer.write_all(&bytes).await.expect("write");
     }
     heard
@@ -147,7 +147,7 @@
     fn any_bytes_behind_a_message_are_read_or_refused(
         behind in proptest::collection::vec(any::<u8>(), 0..64),
     ) {
-        let _ = Extensions::decode(0, &behind);
+        let _ = ExtensionFields::decode(0, &behind);
     }
 }
 
@@ -155,9 +155,9 @@
 #[test]
 fn both_ways_of_encoding_make_the_same_frame() {
     let message = ping(9);
-    let extensions = Extensions::greeting();
-    let once = Encoded::of(&message.content).frame(message.number, &extensions);
-    assert_eq!(once, frame::encode_extended(&message, &extensions));
+    let extensions = ExtensionFields::greeting();
+    let once = EncodedMessage::encode(&message.content).frame(message.number, &extensions);
+    assert_eq!(once, frame::encode_with_fields(&message, &extensions));
 }
 
 /// A front of version 1 that asks a store of this build gets the bytes that it got
@@ -168,7 +168,7 @@
         let folder = tempfile::tempdir().expect("folder");
         let data = stageyoke_store::segment::DataFolder::open(folder.path()).expect("open");
         let recovered = data.recover(1, true).expect("recover");
-        let (keeper, _results) = stageyoke_store::keeper::Keeper::open(
+        let (local_store, _results) = stageyoke_store::local_store::LocalStore::open(
             "store-0".into(),
             data,
             recovered,
@@ -177,16 +177,16 @@
         .expect("keeper");
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
-        tokio::task::spawn_local(stageyoke_store::server::serve(keeper.into(), listener));
+        tokio::task::spawn_local(stageyoke_store::server::serve(local_store.into(), listener));
         let pong = Numbered {
             number: 7,
             content: Reply::Pong,
         };
         let plain = answer_to(&frame::encode(&ping(7)), address).await;
         assert_eq!(plain, frame::encode(&pong));
-        let greeted = frame::encode_extended(&ping(7), &Extensions::greeting());
+        let greeted = frame::encode_with_fields(&ping(7), &ExtensionFields::greeting());
         let greeting = answer_to(&greeted, address).await;
-        let expected = frame::encode_extended(&pong, &Extensions::greeting());
+        let expected = frame::encode_with_fields(&pong, &ExtensionFields::greeting());
         assert_eq!(greeting, expected);
     })
     .await;
@@ -208,30 +208,30 @@
 /// What the fields add to a frame, in bytes: a front tells its ranks with each record.
 #[test]
 fn fields_cost_few_bytes() {
-    let size = |fields: &Extensions| {
+    let size = |fields: &ExtensionFields| {
         let mut bytes = Vec::new();
         fields.encode(&mut bytes);
         bytes.len()
     };
-    assert_eq!(size(&Extensions::default()), 0);
-    assert_eq!(size(&Extensions::greeting()), 4);
+    assert_eq!(size(&ExtensionFields::default()), 0);
+    assert_eq!(size(&ExtensionFields::greeting()), 4);
     let load = RankLoad {
         service: 1,
         rank: 2,
-        under_way: 3,
+        in_flight: 3,
     };
-    let two_ranks = Extensions {
+    let two_ranks = ExtensionFields {
         rank_loads: Some(List(vec![load; 2])),
-        ..Extensions::default()
+        ..ExtensionFields::default()
     };
     assert_eq!(size(&two_ranks), 17);
     let deviation = Deviation {
         replica: 1,
         log_ratio: -50,
     };
-    let sixty_engines = Extensions {
-        deviations: Some(List(vec![deviation; 60])),
-        ..Extensions::default()
+    let sixty_engines = ExtensionFields {
+        engine_deviations: Some(List(vec![deviation; 60])),
+        ..ExtensionFields::default()
     };
     assert_eq!(size(&sixty_engines), 364);
 }
@@ -239,27 +239,27 @@
 /// All fields together are read as they were written.
 #[test]
 fn what_is_written_is_read() {
-    let fields = Extensions {
+    let fields = ExtensionFields {
         version: Some(VERSION),
         rank_loads: Some(List(vec![RankLoad {
             service: 7,
             rank: 1,
-            under_way: 9,
+            in_flight: 9,
         }])),
         program: Some("program".into()),
-        begun: Some(true),
+        started: Some(true),
         front: Some(11),
-        engine_paces: Some(List(vec![PaceEntry {
+        engine_latencies: Some(List(vec![LatencyEntry {
             replica: 3,
             log_ratio: -7,
             answers: 2,
         }])),
-        deviations: Some(List(vec![Deviation {
+        engine_deviations: Some(List(vec![Deviation {
             replica: 3,
             log_ratio: -7,
         }])),
     };
     let mut bytes = Vec::new();
     fields.encode(&mut bytes);
-    assert_eq!(Extensions::decode(0, &bytes).expect("read"), fields);
+    assert_eq!(ExtensionFields::decode(0, &bytes).expect("read"), fields);
 }
