--- a/crates/stageyoke-front/tests/cells_test.rs
+++ b/crates/stageyoke-front/tests/cells_test.rs
@@ -13,7 +13,7 @@
 use stageyoke_front::replica_registry::{ReplicaQuery, ReplicaRegistry};
 use stageyoke_store::LoadTracker;
 use stageyoke_store::load::PlacedTurns;
-use stageyoke_store::message::{OthersReport, Placement};
+use stageyoke_store::message::{OtherFrontsReport, Placement};
 use stageyoke_types::Text;
 
 const SERVICE: &str = "engines";
@@ -159,12 +159,12 @@
     for turn in 0..5 {
         let placement = Placement {
             replica: first.short_hash(),
-            lasting_milliseconds: 4_000,
+            max_duration_milliseconds: 4_000,
         };
         placed.start(turn, placement);
     }
-    let told = OthersReport {
-        placed: placed.counts_excluding(9),
+    let told = OtherFrontsReport {
+        placed_turns: placed.counts_excluding(9),
         ..Default::default()
     };
     board.apply_report(GroupNumber(0), told);
--- a/crates/stageyoke-front/tests/health_test.rs
+++ b/crates/stageyoke-front/tests/health_test.rs
@@ -15,7 +15,7 @@
 use stageyoke_front::replica::Replica;
 use stageyoke_front::replica_registry::{ReplicaQuery, ReplicaRegistry};
 use stageyoke_store::load::LoadReports;
-use stageyoke_store::{LoadTracker, message::OthersReport};
+use stageyoke_store::{LoadTracker, message::OtherFrontsReport};
 use stageyoke_types::{List, Text};
 use tokio::time::Instant;
 
@@ -207,10 +207,10 @@
             front,
             entries: List(Vec::new()),
             suspects: List((0..100).map(|number| number * front).collect()),
-            paces: Default::default(),
+            latencies: Default::default(),
         });
     }
-    let OthersReport { suspects, .. } = store.report_excluding(1);
+    let OtherFrontsReport { suspects, .. } = store.report_excluding(1);
     assert_eq!(
         suspects.len(),
         stageyoke_store::load::MAX_SUSPECTED_REPLICAS
--- a/crates/stageyoke-front/tests/slow_replicas_test.rs
+++ b/crates/stageyoke-front/tests/slow_replicas_test.rs
@@ -83,7 +83,7 @@
                 stores[group].update(board.report(GROUPS[group]));
                 let mut others = stores[group].report_excluding(front as u32);
                 if !told {
-                    others.slow = Default::default();
+                    others.slow_replicas = Default::default();
                 }
                 board.apply_report(GROUPS[group], others);
             }
--- a/crates/stageyoke-store/src/lib.rs
+++ b/crates/stageyoke-store/src/lib.rs
@@ -8,8 +8,9 @@
 //! one sees the other. Members compare digests and fetch what they miss.
 
 pub mod client;
-pub mod clock;
 pub mod completeness;
+pub mod directory_relay;
+pub mod disk_clock;
 pub mod engine_latency;
 pub mod extension;
 pub mod formation;
@@ -18,10 +19,10 @@
 pub mod group_clients;
 pub mod journal;
 pub mod journal_sync;
-pub mod keeper;
 pub mod keys;
 pub mod limits;
 pub mod load;
+pub mod local_store;
 pub mod membership;
 pub mod membership_state;
 pub mod message;
@@ -30,17 +31,16 @@
 pub mod quorum;
 pub mod quota_owners;
 pub mod rank_load;
-pub mod reader;
 pub mod recent_turns;
+pub mod record_reader;
 pub mod recovery_monitor;
-pub mod relay;
 pub mod replica_latency;
-pub mod role;
 pub mod segment;
 pub mod server;
 pub mod socket;
 pub mod spare;
 pub mod state;
+pub mod store_host;
 pub mod wait_reason;
 
 pub use client::StoreClient;
@@ -51,4 +51,4 @@
 pub use message::{LedgerEntry, Record, Reply, Request, TurnRecord};
 pub use quorum::LedgerView;
 pub use recent_turns::RecentTurns;
-pub use role::{StoreHost, StoreSettings};
+pub use store_host::{StoreHost, StoreSettings};
--- a/crates/stageyoke-store/src/load.rs
+++ b/crates/stageyoke-store/src/load.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 use crate::engine_latency::{EngineReports, EngineTracker};
-use crate::message::{LoadEntry, LoadReport, OthersReport, Placement, Suspicion};
+use crate::message::{LoadEntry, LoadReport, OtherFrontsReport, Placement, Suspicion};
 use crate::rank_load::{RankReports, RankTracker};
 use crate::replica_latency::{LatencyStats, ReceivedSlowdowns, UnreportedLatencies};
 
@@ -129,7 +129,7 @@
             .iter()
             .map(|(replica, under_way)| LoadEntry {
                 replica: *replica,
-                under_way: *under_way,
+                in_flight: *under_way,
             })
             .collect();
         keep_busiest(&mut entries);
@@ -143,21 +143,21 @@
                 .copied()
                 .take(MAX_SUSPECTED_REPLICAS)
                 .collect(),
-            paces: self.untold_paces.take(group),
+            latencies: self.untold_paces.take(group),
         }
     }
 
     /// Takes what a store of this group knows of all other fronts.
-    pub fn apply_report(&self, group: GroupNumber, others: OthersReport) {
-        self.heard_paces.apply_report(&others.slow);
-        let counts = others.placed.iter();
-        let counts = counts.map(|entry| (entry.replica, entry.under_way));
+    pub fn apply_report(&self, group: GroupNumber, others: OtherFrontsReport) {
+        self.heard_paces.apply_report(&others.slow_replicas);
+        let counts = others.placed_turns.iter();
+        let counts = counts.map(|entry| (entry.replica, entry.in_flight));
         let placed = Placed {
             counts: counts.collect(),
             at: Instant::now(),
         };
         self.placed.borrow_mut().insert(group, placed);
-        let load = |entry: LoadEntry| (entry.replica, entry.under_way);
+        let load = |entry: LoadEntry| (entry.replica, entry.in_flight);
         let suspicion = |entry: Suspicion| (entry.replica, entry.fronts);
         *self.others.borrow_mut() = Heard {
             under_way: others.entries.into_iter().map(load).collect(),
@@ -225,7 +225,7 @@
 impl LoadReports {
     /// Takes a front's report in place of its former one.
     pub fn update(&self, report: LoadReport) {
-        self.paces.borrow_mut().add(&report.paces);
+        self.paces.borrow_mut().add(&report.latencies);
         let heard = (report, Instant::now());
         self.fronts.borrow_mut().insert(heard.0.front, heard);
     }
@@ -237,7 +237,7 @@
 
     /// What all fronts but one have seen, for the busiest replicas and those
     /// that most fronts report as failing.
-    pub fn report_excluding(&self, front: u32) -> OthersReport {
+    pub fn report_excluding(&self, front: u32) -> OtherFrontsReport {
         let mut fronts = self.fronts.borrow_mut();
         fronts.retain(|_, (_, heard)| heard.elapsed() < SUSPICION_TTL);
         let mut under_way: HashMap<u32, u16> = HashMap::new();
@@ -252,19 +252,22 @@
             }
             for entry in report.entries.iter() {
                 let sum = under_way.entry(entry.replica).or_default();
-                *sum = sum.saturating_add(entry.under_way);
+                *sum = sum.saturating_add(entry.in_flight);
             }
         }
         let mut entries: Vec<LoadEntry> = under_way
             .into_iter()
-            .map(|(replica, under_way)| LoadEntry { replica, under_way })
+            .map(|(replica, under_way)| LoadEntry {
+                replica,
+                in_flight: under_way,
+            })
             .collect();
         keep_busiest(&mut entries);
-        OthersReport {
+        OtherFrontsReport {
             entries: List(entries),
             suspects: most_suspected(suspecting),
-            placed: List::default(),
-            slow: self.paces.borrow_mut().slow_replicas(),
+            placed_turns: List::default(),
+            slow_replicas: self.paces.borrow_mut().slow_replicas(),
         }
     }
 }
@@ -282,7 +285,7 @@
 /// Messages stay small with thousands of replicas: only the busiest matter.
 fn keep_busiest(entries: &mut Vec<LoadEntry>) {
     if entries.len() > MAX_LOAD_ENTRIES {
-        entries.sort_by_key(|entry| std::cmp::Reverse(entry.under_way));
+        entries.sort_by_key(|entry| std::cmp::Reverse(entry.in_flight));
         entries.truncate(MAX_LOAD_ENTRIES);
     }
 }
@@ -310,7 +313,7 @@
         if self.turns.len() >= MOST_PLACED {
             return;
         }
-        let lasting = Duration::from_millis(u64::from(placement.lasting_milliseconds));
+        let lasting = Duration::from_millis(u64::from(placement.max_duration_milliseconds));
         let running = RunningTurn {
             replica: placement.replica,
             until: Instant::now() + lasting,
@@ -341,9 +344,9 @@
         let own = self.turns.get(&turn).map(|running| running.replica);
         let entries = self.counts.iter().map(|(replica, count)| LoadEntry {
             replica: *replica,
-            under_way: count - u16::from(own == Some(*replica)),
+            in_flight: count - u16::from(own == Some(*replica)),
         });
-        entries.filter(|entry| entry.under_way > 0).collect()
+        entries.filter(|entry| entry.in_flight > 0).collect()
     }
 
     /// Turns that are counted.
--- a/crates/stageyoke-store/src/role.rs
+++ b/crates/stageyoke-store/src/store_host.rs
@@ -1,7 +1,7 @@
 //! The store role: recovers the disk, serves, and keeps its place in the
 //! member list.
 
-mod report;
+mod events;
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -20,18 +20,18 @@
 use tokio::net::TcpListener;
 use tokio::time::Instant;
 
-use self::report::describe;
-pub use self::report::report_mirror_event;
+use self::events::describe;
+pub use self::events::log_mirror_event;
+use crate::directory_relay::to_directory_item;
 use crate::extension::describe_build;
 use crate::formation::{Formation, FormationStep};
-use crate::keeper::{Keeper, SilentSince};
 use crate::limits::StoreLimits;
+use crate::local_store::{LocalStore, SilentSince};
 use crate::membership::{
     FencedJournalEnd, LocalMember, MembershipStep, PeerHealth, decide, has_never_stored, is_fenced,
 };
 use crate::peer_sync::Peers;
 use crate::recovery_monitor::RecoveryMonitor;
-use crate::relay::seen_item;
 use crate::segment::DataFolder;
 use crate::server;
 use crate::spare::{LOST_MEMBER_TIMEOUT, MemberProber, replacement_timeout};
@@ -124,7 +124,7 @@
 pub struct StoreHost<S, I> {
     settings: StoreSettings,
     mirror: Rc<Mirror<S, I>>,
-    keeper: Rc<Keeper>,
+    local_store: Rc<LocalStore>,
     peers: Rc<Peers>,
     survey: MemberProber,
     formation: RefCell<Formation>,
@@ -144,32 +144,32 @@
             "records={records} segments={} bytes={} memory={} clock={} torn={} complete={:?} journal={:016x}",
             recovered.segments.len(),
             recovered.bytes,
-            recovered.state.memory(),
+            recovered.state.memory_bytes(),
             recovered.clock,
-            recovered.torn,
+            recovered.torn_segments,
             recovered.completeness,
-            recovered.state.end().journal
+            recovered.state.journal_end().journal
         );
         observe::event(Event::LogRecovered, &detail);
         let kept_items = folder.read_items();
         let node = settings.node.clone();
-        let (keeper, results) = Keeper::open(node, folder, recovered, settings.limits)?;
-        let keeper = keeper.following(mirror.freshness().clone());
-        let keeper = Rc::new(keeper.tolerating(settings.quota_tolerance));
-        let peers = Rc::new(Peers::new(keeper.clone(), settings.tolerance.clone()));
+        let (local_store, results) = LocalStore::open(node, folder, recovered, settings.limits)?;
+        let local_store = local_store.with_directory_freshness(mirror.freshness().clone());
+        let local_store = Rc::new(local_store.with_quota_tolerance(settings.quota_tolerance));
+        let peers = Rc::new(Peers::new(local_store.clone(), settings.tolerance.clone()));
         let listener = TcpListener::bind(settings.listen).await?;
         let detail = format!("node={} {}", settings.node, describe_build());
         observe::event(Event::NodeStarted, &detail);
-        tokio::task::spawn_local(server::serve(keeper.clone(), listener));
-        let collector = keeper.clone();
-        tokio::task::spawn_local(async move { collector.collect(results).await });
-        keeper.set_items(kept_items, false);
-        keeper.telling(mirror.clone());
-        mirror.seed_stores((*keeper.stores()).clone());
+        tokio::task::spawn_local(server::serve(local_store.clone(), listener));
+        let collector = local_store.clone();
+        tokio::task::spawn_local(async move { collector.process_journal_results(results).await });
+        local_store.set_directory_items(kept_items, false);
+        local_store.set_directory_source(mirror.clone());
+        mirror.seed_stores((*local_store.stores()).clone());
         let host = Rc::new(Self {
             settings,
             mirror,
-            keeper,
+            local_store,
             peers,
             survey: MemberProber::default(),
             formation: RefCell::default(),
@@ -178,12 +178,12 @@
             items_kept: Cell::default(),
         });
         host.follow();
-        let forgetting = host.keeper.clone();
+        let forgetting = host.local_store.clone();
         tokio::task::spawn_local(async move {
             loop {
                 tokio::time::sleep(EXPIRE_PAUSE).await;
-                forgetting.expire().await;
-                forgetting.save_stores_again();
+                forgetting.expire_segments().await;
+                forgetting.retry_saving_stores();
             }
         });
         let asking = host.clone();
@@ -192,7 +192,7 @@
         });
         let mirroring = host.clone();
         tokio::task::spawn_local(async move {
-            mirroring.mirror.run(report_mirror_event).await;
+            mirroring.mirror.run(log_mirror_event).await;
         });
         host.keep_place().await;
         Ok(())
@@ -200,17 +200,18 @@
 
     fn follow(&self) {
         let view = self.mirror.view();
-        self.keeper.set_stores(view.stores.clone());
+        self.local_store.set_stores(view.stores.clone());
         if !view.stores.is_formed() {
             self.formation
                 .borrow_mut()
                 .update_registrations(&view.registered);
             let registered = view.registered.values();
             let addresses = registered.map(|store| store.address.clone());
-            self.keeper.set_registered(addresses.collect());
+            self.local_store
+                .set_registered_addresses(addresses.collect());
         }
         self.choose_group();
-        let members = self.keeper.members();
+        let members = self.local_store.members();
         self.peers.update_members(&members);
         self.tell_silence(&members);
         let mut first = members.list.iter().take(ASKING_FIRST);
@@ -221,7 +222,7 @@
 
     /// The store groups, if this store is a member of none.
     fn spare_among(&self) -> Option<Rc<StoreGroups>> {
-        let stores = self.keeper.stores();
+        let stores = self.local_store.stores();
         let spare = stores.is_formed() && stores.group_of_node(&self.settings.node).is_none();
         spare.then_some(stores)
     }
@@ -237,7 +238,7 @@
             self.survey
                 .group_in_need(&stores, size, &self.settings.node)
         });
-        self.keeper.fill_up_for(group);
+        self.local_store.backfill_for(group);
     }
 
     /// Members of an ordinary group.
@@ -288,8 +289,13 @@
             return;
         }
         self.items_kept.set(now);
-        let items = self.mirror.items().into_iter().map(seen_item).collect();
-        self.keeper.set_items(items, true);
+        let items = self
+            .mirror
+            .items()
+            .into_iter()
+            .map(to_directory_item)
+            .collect();
+        self.local_store.set_directory_items(items, true);
     }
 
     async fn keep_place(&self) {
@@ -308,7 +314,7 @@
             tokio::select! {
                 () = tokio::time::sleep(pause) => {}
                 () = self.mirror.wait_for_change() => {}
-                () = self.keeper.newer_list_heard() => self.read_newer_list().await,
+                () = self.local_store.wait_for_newer_member_list() => self.read_newer_list().await,
             }
         }
     }
@@ -318,7 +324,7 @@
     /// Where the service does not answer, what another store told is taken: the
     /// service took it from somebody.
     async fn read_newer_list(&self) {
-        let heard = self.keeper.take_heard_stores();
+        let heard = self.local_store.take_reported_stores();
         let reading = self.mirror.confirm_stores();
         let read = tokio::time::timeout(READ_LIST_WITHIN, reading).await;
         match (read, heard) {
@@ -332,10 +338,11 @@
     /// Whether nothing is to be done soon: a complete member of a list that is not
     /// being changed, or a spare that no group needs.
     fn settled(&self) -> bool {
-        let stores = self.keeper.stores();
+        let stores = self.local_store.stores();
         let member = stores.group_of_node(&self.settings.node).is_some();
-        let settled_member = member && self.keeper.complete() && self.keeper.members().is_settled();
-        let idle_spare = stores.is_formed() && !member && self.keeper.group().is_none();
+        let settled_member =
+            member && self.local_store.is_complete() && self.local_store.members().is_settled();
+        let idle_spare = stores.is_formed() && !member && self.local_store.group().is_none();
         (settled_member || idle_spare) && !self.retiring()
     }
 
@@ -349,7 +356,7 @@
     fn next_proposal(&self) -> Option<Proposal> {
         // Without an answer of the service the groups may have changed.
         self.mirror.last_contact()?;
-        let stores = self.keeper.stores();
+        let stores = self.local_store.stores();
         if !stores.is_formed() {
             return self.before_formation(&stores);
         }
@@ -358,7 +365,7 @@
             // What a spare holds, the group that it was a member of holds too.
             return Some(Proposal::retirement(stores.next_version(), true));
         }
-        let group = self.keeper.group()?;
+        let group = self.local_store.group()?;
         let change = |members| stores.with_group(group, members);
         match self.next_step(&stores, stores.group(group)?) {
             MembershipStep::Wait(_) => None,
@@ -374,7 +381,7 @@
     /// Registers; the groups are formed once no more stores come.
     fn before_formation(&self, stores: &StoreGroups) -> Option<Proposal> {
         // Nothing can have been kept by anybody yet, whatever became of a disk.
-        self.keeper.set_complete();
+        self.local_store.declare_complete();
         if self.retiring() {
             return self.before_leaving(stores);
         }
@@ -408,7 +415,7 @@
             address: Text::from(self.settings.advertised.to_string()),
             zone: self.settings.zone.clone(),
             state: MemberState::Active,
-            disk: self.keeper.disk(),
+            disk: self.local_store.disk(),
         }
     }
 
@@ -416,19 +423,22 @@
     /// or fills up for.
     fn next_step(&self, stores: &StoreGroups, members: &Members) -> MembershipStep {
         if has_never_stored(members, &self.settings.tolerance) {
-            self.keeper.set_complete();
+            self.local_store.declare_complete();
         }
         let fenced = self.fenced(members);
         let oneself = LocalMember {
             entry: self.entry(),
-            complete: self.keeper.complete(),
+            complete: self.local_store.is_complete(),
             caught_up: self.peers.is_caught_up_with_group(),
             retiring: self.retiring(),
             surplus: self.surplus(stores, members),
             has_room: self.room(stores, members),
-            successor_pending: self.keeper.spare_heard().is_some_and(|at| at < SPARE_NEAR),
+            successor_pending: self
+                .local_store
+                .elapsed_since_spare_request()
+                .is_some_and(|at| at < SPARE_NEAR),
             fenced,
-            member_list_age: self.keeper.members_since().elapsed(),
+            member_list_age: self.local_store.members_since().elapsed(),
             replacement_timeout: replacement_timeout(self.settings.catch_up),
         };
         let peers = self.peer_health(members, fenced);
@@ -448,7 +458,7 @@
     fn fenced(&self, members: &Members) -> bool {
         is_fenced(members, &self.settings.tolerance, |member| {
             match member.node == self.settings.node {
-                true => self.keeper.complete() && self.keeper.stores_saved(),
+                true => self.local_store.is_complete() && self.local_store.has_saved_stores(),
                 false => self.peers.is_in_sync_with(&member.node, members.version),
             }
         })
@@ -456,11 +466,11 @@
 
     fn peer_health(&self, members: &Members, fenced: bool) -> Vec<PeerHealth> {
         let known = self.shared_end.get();
-        let end = self.keeper.end();
+        let end = self.local_store.journal_end();
         let shared_end = FencedJournalEnd::for_members(members, known, fenced, end);
         self.shared_end.set(shared_end);
         let holds_it = |node: &str| {
-            let held = self.keeper.held_by(node);
+            let held = self.local_store.held_by(node);
             shared_end.is_some_and(|end| end.is_covered_by(held))
         };
         self.others(members)
@@ -496,7 +506,7 @@
                 since,
             })
         });
-        self.keeper.set_silent_peers(silent.collect());
+        self.local_store.set_silent_peers(silent.collect());
     }
 
     async fn propose(&self, proposal: Proposal) {
