--- a/crates/stageyoke-policy/src/admission.rs
+++ b/crates/stageyoke-policy/src/admission.rs
@@ -1,61 +1,64 @@
-//! Which programs begin while a service's engines have too little room for all.
+//! Admission control: which programs may start while a service's engines are overloaded.
 //!
-//! Load pattern: for some seconds more programs come than engines can work on. Where all
-//! begin, turns wait in the engines' queues until their callers have gone; what was done
-//! for them is lost, their callers come again, and the queues outlive the burst. So a
-//! program that has begun goes on, and a new one begins only where there is room for it.
-//! Engines take the more urgent first, so only what is as urgent or more counts as taking
-//! its room. All fronts go by the same counts and by the same order of programs, so that
-//! one which a front turns away is not begun by the next in the place of another.
+//! If every program started during an overload, turns would wait in the engines' queues
+//! until their callers time out, and the retries would prolong the overload. So programs
+//! that have started continue, and a new one is admitted only if engines have free slots
+//! for it. Engines serve urgent turns first, so only turns that are at least as urgent as
+//! the new program count against it. All fronts use the same load counts and the same order
+//! of programs, so that a program which one front rejects isn't admitted by another front
+//! ahead of earlier ones.
 
 use std::time::Duration;
 
-/// Part of the places over which the share of programs that begin falls from all to none:
-/// narrower, fronts that hear the counts a moment late would swing between both.
-const BAND: f64 = 0.25;
+/// Utilization range above full load, as a fraction of the slots, over which the admitted
+/// share falls from one to zero. In a narrower range, fronts with delayed load counts would
+/// alternate between admitting all programs and none.
+const SHEDDING_RANGE: f64 = 0.25;
 
-/// When the first in the order may come back: engines end a turn in less, so that there
-/// may be room.
-const EARLIEST_RETURN: Duration = Duration::from_millis(300);
-/// Later by at most so much, by their place in the order: returns don't come at once.
-const RETURNS_OVER: Duration = Duration::from_millis(600);
+/// Retry delay for the first program in the order; longer than a usual turn, after which a
+/// slot may be free.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Additional retry delay for the last program in the order, which spreads the retries.
+const RETRY_DELAY_SPREAD: Duration = Duration::from_millis(600);
 
-/// Work at a service's engines, as all fronts count it.
+/// Load on a service's engines, as counted by all fronts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineLoad {
-    /// Turns that the engines work on at once.
+    /// Turns that the engines can run at the same time.
     pub slots: u32,
-    /// Turns under way, also those that wait there, that are as urgent as the program to
-    /// be decided on, or more.
+    /// Turns in flight, running or queued, that are at least as urgent as the program to be
+    /// admitted.
     pub competing_turns: u32,
 }
 
-/// Whether a program begins.
+/// Result of an admission check.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdmissionDecision {
-    /// It does.
+    /// The program may start.
     Admitted,
-    /// There is no room; it may come back after this time.
+    /// The engines are overloaded; the caller may retry after this delay.
     Rejected(Duration),
 }
 
 impl EngineLoad {
-    /// Share of the programs that begin, 0 to 1: all while a place is free for them.
+    /// Share of new programs to admit, from 0 to 1; it is 1 while a slot is free.
     pub fn admitted_share(&self) -> f64 {
         if self.slots == 0 {
             return 1.0;
         }
-        let taken = f64::from(self.competing_turns) / f64::from(self.slots);
-        ((1.0 + BAND - taken) / BAND).clamp(0.0, 1.0)
+        let utilization = f64::from(self.competing_turns) / f64::from(self.slots);
+        ((1.0 + SHEDDING_RANGE - utilization) / SHEDDING_RANGE).clamp(0.0, 1.0)
     }
 
-    /// Decides on the program with this place in the order of all, 0 to 1. The order has
-    /// nothing to do with when they come: one that is turned away stays before those
-    /// behind it when it comes back.
+    /// Decides whether a program may start. `order` is the program's position among all
+    /// programs, from 0 (admitted first) to 1. It must not depend on the arrival time, so
+    /// that a rejected program keeps its position when it retries.
     pub fn decide(&self, order: f64) -> AdmissionDecision {
         match order < self.admitted_share() {
             true => AdmissionDecision::Admitted,
-            false => AdmissionDecision::Rejected(EARLIEST_RETURN + RETURNS_OVER.mul_f64(order)),
+            false => {
+                AdmissionDecision::Rejected(MIN_RETRY_DELAY + RETRY_DELAY_SPREAD.mul_f64(order))
+            }
         }
     }
 }
--- a/crates/stageyoke-policy/src/lib.rs
+++ b/crates/stageyoke-policy/src/lib.rs
@@ -1,8 +1,9 @@
-//! Decisions as pure state: without sockets, clocks or tasks. Time is given as
-//! what has passed since the process started.
+//! Policies of fronts and stores as pure state machines, without I/O, clocks or tasks.
+//!
+//! Callers pass the current time as the duration since the process started.
 
 pub mod admission;
 pub mod quota;
 pub mod retry_budget;
+pub mod sliding_window;
 pub mod token_bucket;
-pub mod window;
--- a/crates/stageyoke-policy/src/quota/account.rs
+++ b/crates/stageyoke-policy/src/quota/account.rs
@@ -1,274 +1,289 @@
-//! One tenant as an owner counts it: its limits, and its programs.
+//! Quota account of one tenant: its rate limits and its programs.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use super::QuotaTolerance;
-use super::habits::{Demand, Habits};
+use super::demand::{Demand, DemandEstimator};
+use crate::sliding_window::SlidingWindow;
 use crate::token_bucket::RateLimit;
-use crate::window::Window;
 
-/// A program that has asked for nothing this long is taken as over: few turns and
-/// pauses take longer, and ended programs count as under way until then. With 1.2 s a
-/// tenth of a limit stayed unused at three times its load (`program_quota_test`).
-const PROGRAM_IDLE: Duration = Duration::from_millis(600);
-/// A program that comes back within this time is not a new one.
-const PROGRAM_KNOWN: Duration = Duration::from_secs(8);
-/// Limits that are held at once for one tenant: more are lowered within a window only
-/// in a storm of configurations, and the lowest ones bind.
-const MOST_HELD: usize = 4;
-/// Moments of a program's expected life at which its requests must fit.
-const LOOKS: u32 = 4;
+/// A program without a granted request for this long counts as finished. Longer than most
+/// turns and pauses, but short, since new programs are limited by those not yet finished.
+const PROGRAM_IDLE_TIMEOUT: Duration = Duration::from_millis(600);
+/// A program that resumes within this time is not treated as a new one.
+const PROGRAM_RETENTION: Duration = Duration::from_secs(8);
+/// Limits of a tenant that are enforced at the same time: the current one and the higher
+/// ones that it replaced. Beyond this number the highest ones are dropped; the lower ones
+/// are stricter.
+const MAX_ENFORCED_LIMITS: usize = 4;
+/// Points in a program's expected lifetime at which its demand must fit the limit.
+const DEMAND_CHECKPOINTS: u32 = 4;
 
-/// One program of a tenant.
+/// Request history of one program.
 #[derive(Clone, Copy, Debug)]
 struct Program {
-    /// When it asked last.
-    at: Duration,
-    /// Requests that were granted.
-    made: u32,
-    /// Whether its last request was refused.
-    refused: bool,
-    /// Whether it asked a moment ago.
+    last_request_at: Duration,
+    granted_requests: u32,
+    /// Whether the last request was rejected.
+    rejected: bool,
+    /// Whether a request was granted within the idle timeout, as of the last sweep.
     active: bool,
 }
 
-/// A limit with the requests that it has granted.
+/// Limit in force, with the requests that count against it.
 #[derive(Clone, Debug)]
-struct Held {
+struct EnforcedLimit {
     limit: RateLimit,
-    requests: Window,
-    /// When it ends to hold, once it was lowered.
-    until: Option<Duration>,
+    requests: SlidingWindow,
+    /// Time at which a replaced limit is no longer enforced; `None` for the current one.
+    expires_at: Option<Duration>,
 }
 
-/// One tenant's requests.
+/// Rate limits, requests and programs of one tenant.
 #[derive(Debug)]
 pub(super) struct Account {
-    /// The limit in force, then those that were lowered less than a window ago.
-    held: Vec<Held>,
+    /// The current limit, then higher ones that were replaced less than a window ago.
+    limits: Vec<EnforcedLimit>,
     version: u64,
-    /// Since when every request is known here.
+    /// Time since which all of the tenant's requests are counted here.
     complete_since: Duration,
     programs: HashMap<u64, Program>,
-    active: usize,
+    active_programs: usize,
 }
 
 impl Account {
-    /// A tenant with this limit, of which these requests are known, all of those since
-    /// then.
+    /// Creates an account whose `requests` include all requests since `complete_since`.
     pub(super) fn new(
         limit: RateLimit,
-        requests: Window,
+        requests: SlidingWindow,
         version: u64,
         complete_since: Duration,
     ) -> Self {
-        let held = Held {
+        let current = EnforcedLimit {
             limit,
             requests,
-            until: None,
+            expires_at: None,
         };
         Self {
-            held: vec![held],
+            limits: vec![current],
             version,
             complete_since,
             programs: HashMap::new(),
-            active: 0,
+            active_programs: 0,
         }
     }
 
-    /// Takes the limit of a configuration, unless it is an older one.
-    pub(super) fn follow(&mut self, limit: RateLimit, version: u64, now: Duration) {
+    /// Applies the limit of a configuration if it is newer than the current one.
+    pub(super) fn update_limit(&mut self, limit: RateLimit, version: u64, now: Duration) {
         if version > self.version {
             self.version = version;
             self.set_limit(limit, now);
         }
     }
 
-    /// Since when every request is known here.
+    /// Time since which all of the tenant's requests are counted here.
     pub(super) fn complete_since(&self) -> Duration {
         self.complete_since
     }
 
-    /// Whether a program is known.
-    pub(super) fn knows(&self, program: u64) -> bool {
+    /// Returns whether the program was granted a request within the retention time.
+    pub(super) fn has_program(&self, program: u64) -> bool {
         self.programs.contains_key(&program)
     }
 
-    /// Programs that are known.
-    pub(super) fn programs(&self) -> usize {
+    /// Number of programs in memory.
+    pub(super) fn program_count(&self) -> usize {
         self.programs.len()
     }
 
-    /// Whether nothing would be lost with it.
-    pub(super) fn idle(&mut self, now: Duration) -> bool {
-        let counts = self.held.iter_mut().map(|held| held.requests.count(now));
+    /// Returns whether the account holds no requests and no programs, so that dropping it
+    /// loses nothing.
+    pub(super) fn is_idle(&mut self, now: Duration) -> bool {
+        let counts = self
+            .limits
+            .iter_mut()
+            .map(|limit| limit.requests.count(now));
         self.programs.is_empty() && counts.max().unwrap_or_default() == 0
     }
 
-    /// Time until a request may be made that begins a program or goes on with one;
-    /// `None` if it may be now.
-    pub(super) fn wait(
+    /// Time until a request fits all enforced limits; `None` if it fits now. A request that
+    /// starts a program must leave room for the program's expected demand.
+    pub(super) fn time_until_granted(
         &mut self,
-        begins: bool,
-        habits: &Habits,
+        starts_program: bool,
+        demand: &DemandEstimator,
         tolerance: QuotaTolerance,
         now: Duration,
     ) -> Option<Duration> {
-        self.held
-            .retain(|held| held.until.is_none_or(|until| until > now));
-        let programs = self.active + 1;
-        let demand = habits.of_one().filter(|_| programs > 1);
-        let waits = self.held.iter_mut().filter_map(|held| {
-            let overdraft = tolerance.overdraft(held.allowed());
-            match begins {
-                true => held.wait_for_program(programs, demand, overdraft, now),
-                false => held.wait_for_one(overdraft, now),
+        self.limits
+            .retain(|limit| limit.expires_at.is_none_or(|expiry| expiry > now));
+        let programs = self.active_programs + 1;
+        let demand = demand.estimate().filter(|_| programs > 1);
+        let waits = self.limits.iter_mut().filter_map(|limit| {
+            let overdraft = tolerance.overdraft(limit.capacity());
+            match starts_program {
+                true => limit.time_until_program_fits(programs, demand, overdraft, now),
+                false => limit.time_until_request_fits(overdraft, now),
             }
         });
         waits.max()
     }
 
-    /// A request of a program was refused.
-    pub(super) fn refuse(&mut self, program: u64) {
+    /// Marks a program's last request as rejected.
+    pub(super) fn record_rejection(&mut self, program: u64) {
         if let Some(program) = self.programs.get_mut(&program) {
-            program.refused = true;
+            program.rejected = true;
         }
     }
 
-    /// A request was granted; it begins its program or goes on with it.
-    pub(super) fn grant(&mut self, program: u64, begins: bool, habits: &mut Habits, now: Duration) {
-        for held in &mut self.held {
-            held.requests.add(now);
+    /// Counts a granted request against all enforced limits and adds it to its program.
+    pub(super) fn record_grant(
+        &mut self,
+        program: u64,
+        starts_program: bool,
+        demand: &mut DemandEstimator,
+        now: Duration,
+    ) {
+        for limit in &mut self.limits {
+            limit.requests.record(now);
         }
-        if begins {
-            let begun = Program {
-                at: now,
-                made: 0,
-                refused: false,
+        if starts_program {
+            let started = Program {
+                last_request_at: now,
+                granted_requests: 0,
+                rejected: false,
                 active: false,
             };
-            self.programs.insert(program, begun);
+            self.programs.insert(program, started);
         }
         let Some(program) = self.programs.get_mut(&program) else {
             return;
         };
         match program.active {
-            true => habits.note_gap(now.saturating_sub(program.at)),
-            false => self.active += 1,
+            true => demand.record_gap(now.saturating_sub(program.last_request_at)),
+            false => self.active_programs += 1,
         }
         *program = Program {
-            at: now,
-            made: program.made + 1,
-            refused: false,
+            last_request_at: now,
+            granted_requests: program.granted_requests + 1,
+            rejected: false,
             active: true,
         };
     }
 
-    /// The slot of a request that was granted just now, and the version of the limit
-    /// that it counts against.
-    pub(super) fn slot(&mut self, now: Duration) -> Option<(u64, u64)> {
-        let current = self.held.first_mut()?;
-        Some((current.requests.slot(now), self.version))
+    /// Window slot in which a request granted at `now` is counted, and the version of the
+    /// limit that it counts against.
+    pub(super) fn current_slot(&mut self, now: Duration) -> Option<(u64, u64)> {
+        let current = self.limits.first_mut()?;
+        Some((current.requests.current_slot(now), self.version))
     }
 
-    /// Takes back a request that was granted in this slot under this version's limit
-    /// and was not run. Under another version's it stays counted: windows that began
-    /// since don't hold it.
-    pub(super) fn take_back(&mut self, slot: u64, version: u64, now: Duration) {
+    /// Refunds a request that was granted in this slot but not run. A request that was
+    /// granted under another version of the limit is not refunded, since windows created
+    /// after it don't contain it.
+    pub(super) fn refund(&mut self, slot: u64, version: u64, now: Duration) {
         if version != self.version {
             return;
         }
-        for held in &mut self.held {
-            held.requests.take_back(slot, now);
+        for limit in &mut self.limits {
+            limit.requests.refund(slot, now);
         }
     }
 
-    /// Another limit is in force. A lower one counts from now on; what was granted
-    /// before, and both together, must keep to the former one for a window: else a
-    /// tenant would get nothing until its former requests have left the window. A
-    /// higher one counts everything, and no former one binds any more.
+    /// Replaces the current limit. A lower limit starts with an empty window, so that earlier
+    /// requests don't block the tenant; for one window length, all requests must also fit
+    /// the limit that it replaces. A higher limit takes over the longest history, and no
+    /// earlier limit applies any more.
     fn set_limit(&mut self, limit: RateLimit, now: Duration) {
-        let Some(current) = self.held.first_mut() else {
+        let Some(current) = self.limits.first_mut() else {
             return;
         };
-        let length = current.requests.length();
-        if current.requests.allowed(limit) < current.allowed() {
-            current.until = Some(now + length);
-            let lowered = Held {
+        let window_length = current.requests.length();
+        if current.requests.capacity(limit) < current.capacity() {
+            current.expires_at = Some(now + window_length);
+            let lowered = EnforcedLimit {
                 limit,
-                requests: Window::new(length, now),
-                until: None,
+                requests: SlidingWindow::new(window_length, now),
+                expires_at: None,
             };
-            self.held.insert(0, lowered);
-            self.held.truncate(MOST_HELD);
+            self.limits.insert(0, lowered);
+            self.limits.truncate(MAX_ENFORCED_LIMITS);
             return;
         }
-        let oldest = self.held.pop();
-        let raised = oldest.map(|oldest| Held {
+        let oldest = self.limits.pop();
+        let raised = oldest.map(|oldest| EnforcedLimit {
             limit,
             requests: oldest.requests,
-            until: None,
+            expires_at: None,
         });
-        self.held = raised.into_iter().collect();
+        self.limits = raised.into_iter().collect();
     }
 
-    /// Programs that ask no more have ended; later they are forgotten.
-    pub(super) fn sweep(&mut self, habits: &mut Habits, now: Duration) {
+    /// Marks programs as finished after the idle timeout, and removes them after the
+    /// retention time.
+    pub(super) fn sweep(&mut self, demand: &mut DemandEstimator, now: Duration) {
         self.programs
-            .retain(|_, program| program.at + PROGRAM_KNOWN > now);
-        self.active = 0;
+            .retain(|_, program| program.last_request_at + PROGRAM_RETENTION > now);
+        self.active_programs = 0;
         for program in self.programs.values_mut() {
-            let active = program.at + PROGRAM_IDLE > now;
-            if program.active && !active && !program.refused {
-                habits.note_end(program.made);
+            let active = program.last_request_at + PROGRAM_IDLE_TIMEOUT > now;
+            if program.active && !active && !program.rejected {
+                demand.record_finished_program(program.granted_requests);
             }
             program.active = active;
-            self.active += usize::from(active);
+            self.active_programs += usize::from(active);
         }
     }
 }
 
-impl Held {
-    /// Requests that the limit allows in a window.
-    fn allowed(&self) -> f64 {
-        self.requests.allowed(self.limit)
+impl EnforcedLimit {
+    /// Number of requests that the limit allows within one window.
+    fn capacity(&self) -> f64 {
+        self.requests.capacity(self.limit)
     }
 
-    /// Time until one more request fits; `None` if it does now.
-    fn wait_for_one(&mut self, overdraft: f64, now: Duration) -> Option<Duration> {
-        let allowed = self.allowed() + overdraft;
-        let fits = f64::from(self.requests.count(now)) + 1.0 <= allowed;
-        (!fits).then(|| self.requests.time_until((allowed - 1.0) as u32, now))
+    /// Time until one more request fits the limit; `None` if it fits now.
+    fn time_until_request_fits(&mut self, overdraft: f64, now: Duration) -> Option<Duration> {
+        let capacity = self.capacity() + overdraft;
+        let fits = f64::from(self.requests.count(now)) + 1.0 <= capacity;
+        (!fits).then(|| {
+            self.requests
+                .time_until_at_most((capacity - 1.0) as u32, now)
+        })
     }
 
-    /// Time until the limit is enough for what so many programs are expected to ask
-    /// for; `None` if it is now. Without a demand one request must fit: a tenant runs
-    /// one program at a time however small its limit.
-    fn wait_for_program(
+    /// Time until the limit covers the expected demand of this number of programs; `None`
+    /// if it does now. Without a demand only one request must fit, so that a tenant can run
+    /// one program at a time however low its limit.
+    fn time_until_program_fits(
         &mut self,
         programs: usize,
         demand: Option<Demand>,
         overdraft: f64,
         now: Duration,
     ) -> Option<Duration> {
-        let one = self.wait_for_one(0.0, now);
+        let request_wait = self.time_until_request_fits(0.0, now);
         let Some(demand) = demand else {
-            return one;
+            return request_wait;
         };
-        let allowed = self.allowed() + overdraft;
-        let horizon = demand.seconds.min(self.requests.length().as_secs_f64());
+        let capacity = self.capacity() + overdraft;
+        let horizon = demand
+            .lifetime_seconds
+            .min(self.requests.length().as_secs_f64());
         let per_second = programs as f64 * demand.per_second;
-        let waits = (1..=LOOKS).filter_map(|look| {
-            let ahead = horizon * f64::from(look) / f64::from(LOOKS);
-            let room = allowed - per_second * ahead;
-            let ahead = Duration::from_secs_f64(ahead);
-            let staying = f64::from(self.requests.count_after(ahead, now));
-            (staying > room).then(|| {
-                let until = self.requests.time_until(room.max(0.0) as u32, now);
-                until.saturating_sub(ahead)
+        let waits = (1..=DEMAND_CHECKPOINTS).filter_map(|checkpoint| {
+            let offset = horizon * f64::from(checkpoint) / f64::from(DEMAND_CHECKPOINTS);
+            let available = capacity - per_second * offset;
+            let offset = Duration::from_secs_f64(offset);
+            let remaining = f64::from(self.requests.count_after(offset, now));
+            (remaining > available).then(|| {
+                let wait = self
+                    .requests
+                    .time_until_at_most(available.max(0.0) as u32, now);
+                wait.saturating_sub(offset)
             })
         });
-        waits.max().or(one)
+        waits.max().or(request_wait)
     }
 }
--- a/crates/stageyoke-policy/src/quota/mod.rs
+++ b/crates/stageyoke-policy/src/quota/mod.rs
@@ -1,57 +1,57 @@
-//! What tenants may still ask for, as one owner of their limits counts it. The
-//! fronts ask an owner for each request before they offer it to a replica.
+//! Rate limits of tenants, as enforced by the stores that own them. Fronts acquire quota
+//! from an owner for each request before they send it to a replica.
 //!
-//! Load that it answers: one tenant sends several times its limit. A program makes
-//! tens of requests, and one refused request may end it: what it had asked for
-//! before is wasted. So it is decided when a program begins whether the limit is
-//! enough for it beside those under way, and what has begun goes on. At seven times
-//! the limit 39 programs of 30 requests end and 3 are cut in 30 s, against none and
-//! 125 where requests are granted as they come (`quota_test`, one tenant).
+//! A program makes many requests, and a rejected one may abort it and waste the earlier
+//! ones. So the limit is checked when a program starts: it is admitted only if the limit
+//! covers its expected demand beside the programs in flight. Programs that have started may
+//! use a part of the tolerated excess to finish.
 
 mod account;
-mod habits;
+mod demand;
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use self::account::Account;
-use self::habits::Habits;
+use self::demand::DemandEstimator;
+use crate::sliding_window::SlidingWindow;
 use crate::token_bucket::RateLimit;
-use crate::window::Window;
 
-/// Part of what a tenant may ask for that an owner takes as asked for already, for
-/// the time before it began to count: another one may have granted it.
-const ASSUMED_PART: f64 = 0.9;
-/// Window of limits where the operator's bounds name none.
+/// Fraction of the limit that an owner assumes as used in the part of the window before it
+/// started to count, since a previous owner may have granted it.
+const ASSUMED_UTILIZATION: f64 = 0.9;
+/// Length of the limits' window if the tolerance sets none.
 const DEFAULT_WINDOW: Duration = Duration::from_secs(1);
-/// Part of the tolerated excess that programs under way may use.
-const OVERDRAFT_PART: f64 = 0.5;
-/// Tenants that an owner counts; those beyond are left to the fronts' shares.
-const MOST_TENANTS: usize = 10_000;
-/// Programs that an owner knows, some 40 bytes each; those beyond count as known.
-const MOST_PROGRAMS: usize = 50_000;
-/// Time between two looks for what has ended.
-const SWEEP_PAUSE: Duration = Duration::from_millis(200);
-/// Soonest and latest return after a refusal: a program's tries are over within
-/// some seconds.
-const RETURN: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(1500));
-
-/// What the operator tolerates beyond limits, since they hold over many processes.
+/// Fraction of the tolerated excess that programs in flight may use.
+const OVERDRAFT_FRACTION: f64 = 0.5;
+/// Tenants that one ledger counts; fronts limit further tenants by a static share.
+const MAX_TENANTS: usize = 10_000;
+/// Programs that one ledger tracks, about 40 bytes each. Further programs are treated as
+/// already started.
+const MAX_PROGRAMS: usize = 50_000;
+/// Time between removals of finished programs and idle tenants.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
+/// Shortest and longest retry delay of a rejection; callers give up after a few seconds.
+const RETRY_DELAY_RANGE: (Duration, Duration) =
+    (Duration::from_millis(100), Duration::from_millis(1500));
+
+/// Excess over the limits that the operator tolerates, since owners can fail and don't know
+/// each other's latest grants.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QuotaTolerance {
-    /// Window in which it is counted.
+    /// Window over which limits and excess are counted; zero selects the default.
     pub window: Duration,
-    /// Part of what the limit allows in a window.
+    /// Tolerated excess, as a fraction of the requests allowed per window.
     pub excess: f64,
-    /// Requests beyond that part.
+    /// Tolerated excess beyond that fraction, in requests per window.
     pub slack: f64,
 }
 
 impl QuotaTolerance {
-    /// Requests that programs under way may make beyond a limit. Half of what is
-    /// tolerated: the rest is for what owners do not know of one another.
-    fn overdraft(&self, allowed: f64) -> f64 {
-        (allowed * self.excess + self.slack) * OVERDRAFT_PART
+    /// Requests above `capacity` that programs in flight may make. The rest of the tolerated
+    /// excess is left for grants that owners don't know of each other.
+    fn overdraft(&self, capacity: f64) -> f64 {
+        (capacity * self.excess + self.slack) * OVERDRAFT_FRACTION
     }
 
     fn window(&self) -> Duration {
@@ -62,64 +62,64 @@
     }
 }
 
-/// May one more request of a tenant be made?
+/// Quota that a front wants to acquire: one request of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AcquireRequest {
     /// Hash of the tenant's name.
     pub tenant: u64,
-    /// Hash of the request's program; zero where it has none.
+    /// Hash of the program; zero for a request without one.
     pub program: u64,
-    /// The tenant's limit.
+    /// Rate limit of the tenant.
     pub limit: RateLimit,
-    /// Version of the configuration that the limit is from.
+    /// Version of the configuration that sets the limit.
     pub version: u64,
-    /// Whether the owner is asked in place of others that did not answer.
+    /// Whether this store stands in for owners that did not answer.
     pub standby: bool,
 }
 
-/// An owner's answer.
+/// Result of an attempt to acquire quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum QuotaDecision {
-    /// It may be made, and is counted.
+    /// The request may proceed and has been counted.
     Granted,
-    /// It may not; when to come back.
+    /// The limit is used up; the caller may retry after this delay.
     Rejected(Duration),
-    /// This owner does not count for the tenant.
+    /// This owner can't decide for the tenant, and has not counted the request.
     Unknown,
 }
 
-/// Where a granted request was counted, by which it can be given back.
+/// Identifies where a granted request was counted, so that it can be refunded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GrantReceipt {
-    /// Slot of the window.
+    /// Number of the window slot.
     pub slot: u64,
     /// Version of the limit.
     pub version: u64,
-    /// Life of the owner.
+    /// Incarnation of the owner.
     pub incarnation: u64,
 }
 
-/// Limits of the tenants that one store owns.
+/// Accounts of the tenants whose limits one store owns.
 #[derive(Debug, Default)]
 pub struct QuotaLedger {
-    /// Tells this owner from the one that it was before a restart.
+    /// Random number of this process start, which invalidates receipts from earlier ones.
     incarnation: u64,
     tolerance: QuotaTolerance,
     accounts: HashMap<u64, Account>,
-    /// Since when this owner counts.
-    since: Duration,
-    programs: usize,
-    habits: Habits,
+    /// Time since which this owner counts the requests of tenants without an account.
+    counting_since: Duration,
+    program_count: usize,
+    demand: DemandEstimator,
     swept_at: Duration,
 }
 
 impl QuotaLedger {
-    /// The same ledger where the operator tolerates so much.
+    /// Sets the window and the tolerated excess of all limits.
     pub fn with_tolerance(self, tolerance: QuotaTolerance) -> Self {
         Self { tolerance, ..self }
     }
 
-    /// The same ledger in this life of its owner, drawn at random at each start.
+    /// Sets the owner's incarnation, a random number drawn at each process start.
     pub fn with_incarnation(self, incarnation: u64) -> Self {
         Self {
             incarnation,
@@ -127,41 +127,44 @@
         }
     }
 
-    /// Who owns which tenant has changed: for tenants that are new to it this owner
-    /// begins to count now.
+    /// Records that tenants have moved between owners. The window of a tenant that is new
+    /// here counts as incomplete from `now` on.
     pub fn handle_owner_change(&mut self, now: Duration) {
-        self.since = now;
+        self.counting_since = now;
     }
 
-    /// Whether all of a tenant's requests of the last window are known here: an owner
-    /// that has just started, or just become one, does not know what others granted.
+    /// Returns whether all of the tenant's requests of the last window were counted here.
+    /// False just after a start or a change of owners, when other owners may have granted
+    /// some of them.
     pub fn has_full_window(&self, tenant: u64, now: Duration) -> bool {
         let account = self.accounts.get(&tenant);
-        let since = account.map_or(self.since, Account::complete_since);
+        let since = account.map_or(self.counting_since, Account::complete_since);
         since + self.tolerance.window() <= now
     }
 
-    /// Decides on one request.
-    pub fn acquire(&mut self, question: &AcquireRequest, now: Duration) -> QuotaDecision {
-        let Some(begins) = self.open(question, now) else {
+    /// Grants or rejects one request, and counts it if granted.
+    pub fn acquire(&mut self, request: &AcquireRequest, now: Duration) -> QuotaDecision {
+        let Some(starts_program) = self.prepare_account(request, now) else {
             return QuotaDecision::Unknown;
         };
-        let Some(account) = self.accounts.get_mut(&question.tenant) else {
+        let Some(account) = self.accounts.get_mut(&request.tenant) else {
             return QuotaDecision::Unknown;
         };
-        if let Some(wait) = account.wait(begins, &self.habits, self.tolerance, now) {
-            account.refuse(question.program);
-            return QuotaDecision::Rejected(wait.clamp(RETURN.0, RETURN.1));
+        if let Some(wait) =
+            account.time_until_granted(starts_program, &self.demand, self.tolerance, now)
+        {
+            account.record_rejection(request.program);
+            return QuotaDecision::Rejected(wait.clamp(RETRY_DELAY_RANGE.0, RETRY_DELAY_RANGE.1));
         }
-        account.grant(question.program, begins, &mut self.habits, now);
-        self.programs += usize::from(begins);
+        account.record_grant(request.program, starts_program, &mut self.demand, now);
+        self.program_count += usize::from(starts_program);
         QuotaDecision::Granted
     }
 
-    /// Where the request of a tenant that was granted just now is counted.
+    /// Receipt for a request of the tenant that was granted at `now`.
     pub fn receipt(&mut self, tenant: u64, now: Duration) -> Option<GrantReceipt> {
         let account = self.accounts.get_mut(&tenant)?;
-        let (slot, version) = account.slot(now)?;
+        let (slot, version) = account.current_slot(now)?;
         Some(GrantReceipt {
             slot,
             version,
@@ -169,81 +172,80 @@
         })
     }
 
-    /// Takes back a request that was granted here and then not run: its tenant may
-    /// make another one. What has left the window changes nothing, and what another
-    /// owner granted is not known here.
+    /// Refunds a request that was granted but not run. Has no effect on a receipt from another
+    /// owner or incarnation, or after the request has left the window.
     pub fn refund(&mut self, tenant: u64, receipt: GrantReceipt, now: Duration) {
         if receipt.incarnation != self.incarnation {
             return;
         }
         if let Some(account) = self.accounts.get_mut(&tenant) {
-            account.take_back(receipt.slot, receipt.version, now);
+            account.refund(receipt.slot, receipt.version, now);
         }
     }
 
-    /// Counts a request that another owner has granted.
-    pub fn count(&mut self, question: &AcquireRequest, now: Duration) {
-        let Some(begins) = self.open(question, now) else {
+    /// Counts a request that another owner granted.
+    pub fn count(&mut self, request: &AcquireRequest, now: Duration) {
+        let Some(starts_program) = self.prepare_account(request, now) else {
             return;
         };
-        if let Some(account) = self.accounts.get_mut(&question.tenant) {
-            account.grant(question.program, begins, &mut self.habits, now);
-            self.programs += usize::from(begins);
+        if let Some(account) = self.accounts.get_mut(&request.tenant) {
+            account.record_grant(request.program, starts_program, &mut self.demand, now);
+            self.program_count += usize::from(starts_program);
         }
     }
 
-    /// Makes sure that the tenant has an account; says whether the request begins
-    /// a program. `None` where there is no room for an account.
-    fn open(&mut self, question: &AcquireRequest, now: Duration) -> Option<bool> {
+    /// Creates the tenant's account if needed and applies a newer limit. Returns whether the
+    /// request starts a program, or `None` if the ledger is full.
+    fn prepare_account(&mut self, request: &AcquireRequest, now: Duration) -> Option<bool> {
         self.sweep(now);
-        if !self.accounts.contains_key(&question.tenant) {
-            if self.accounts.len() >= MOST_TENANTS {
+        if !self.accounts.contains_key(&request.tenant) {
+            if self.accounts.len() >= MAX_TENANTS {
                 return None;
             }
-            let account = self.new_account(question, now);
-            self.accounts.insert(question.tenant, account);
+            let account = self.new_account(request, now);
+            self.accounts.insert(request.tenant, account);
         }
-        let account = self.accounts.get_mut(&question.tenant)?;
-        account.follow(question.limit, question.version, now);
-        let known = question.program == 0 || account.knows(question.program);
-        Some(!known && self.programs < MOST_PROGRAMS)
+        let account = self.accounts.get_mut(&request.tenant)?;
+        account.update_limit(request.limit, request.version, now);
+        let known = request.program == 0 || account.has_program(request.program);
+        Some(!known && self.program_count < MAX_PROGRAMS)
     }
 
-    fn new_account(&self, question: &AcquireRequest, now: Duration) -> Account {
-        let complete_since = match question.standby {
+    fn new_account(&self, request: &AcquireRequest, now: Duration) -> Account {
+        let complete_since = match request.standby {
             true => now,
-            false => self.since,
+            false => self.counting_since,
         };
         let counted = now.saturating_sub(complete_since);
-        let mut requests = Window::new(self.tolerance.window(), now);
-        let assumed = requests.allowed(question.limit) * ASSUMED_PART;
-        requests.assume(assumed, counted, now);
-        Account::new(question.limit, requests, question.version, complete_since)
+        let mut requests = SlidingWindow::new(self.tolerance.window(), now);
+        let assumed = requests.capacity(request.limit) * ASSUMED_UTILIZATION;
+        requests.prefill(assumed, counted, now);
+        Account::new(request.limit, requests, request.version, complete_since)
     }
 
-    /// Tenants that it counts.
-    pub fn tenants(&self) -> usize {
+    /// Number of tenants with an account.
+    pub fn tenant_count(&self) -> usize {
         self.accounts.len()
     }
 
-    /// Programs that it knows.
-    pub fn programs(&self) -> usize {
-        self.programs
+    /// Number of programs in memory, over all tenants.
+    pub fn program_count(&self) -> usize {
+        self.program_count
     }
 
-    /// Forgets programs that have ended and tenants that have asked for nothing
-    /// for so long that a new account would hold as much.
+    /// Drops programs after their retention time, and accounts that hold no requests or
+    /// programs. Runs at most once per sweep interval.
     fn sweep(&mut self, now: Duration) {
-        if now < self.swept_at + SWEEP_PAUSE {
+        if now < self.swept_at + SWEEP_INTERVAL {
             return;
         }
         self.swept_at = now;
-        self.habits.fade(now);
-        self.programs = 0;
+        self.demand.decay(now);
+        self.program_count = 0;
         self.accounts.retain(|_, account| {
-            account.sweep(&mut self.habits, now);
-            self.programs += account.programs();
-            !account.idle(now)
+            account.sweep(&mut self.demand, now);
+            self.program_count += account.program_count();
+            !account.is_idle(now)
         });
     }
 }
--- a/crates/stageyoke-policy/src/retry_budget.rs
+++ b/crates/stageyoke-policy/src/retry_budget.rs
@@ -1,35 +1,36 @@
-//! How many requests may be tried again because their answer has not come: a part
-//! of all requests, so that tries can't multiply the load of replicas that are all
-//! slow for want of room.
+//! Retry budget: limits retries to a fraction of all requests, so that retries don't
+//! multiply the load on replicas that are already overloaded.
 
-/// Retries that each request allows: one in ten requests may be tried again.
-const PER_REQUEST: f64 = 0.1;
-/// Retries that may come at once after a quiet time.
-const MOST: f64 = 20.0;
+/// Retries earned per request: at most one retry for every ten requests.
+const RETRIES_PER_REQUEST: f64 = 0.1;
+/// Upper bound of the balance: retries that may be sent in a burst.
+const MAX_RETRIES: f64 = 20.0;
 
-/// What is left to spend on retries.
+/// Balance of retries that may still be sent.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    left: f64,
+    balance: f64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { left: MOST }
+        Self {
+            balance: MAX_RETRIES,
+        }
     }
 }
 
 impl RetryBudget {
-    /// One more request is made.
+    /// Credits the budget for one first attempt.
     pub fn deposit(&mut self) {
-        self.left = (self.left + PER_REQUEST).min(MOST);
+        self.balance = (self.balance + RETRIES_PER_REQUEST).min(MAX_RETRIES);
     }
 
-    /// Takes one retry, if there is one.
+    /// Spends one retry; returns false if the budget is exhausted.
     pub fn withdraw(&mut self) -> bool {
-        let allowed = self.left >= 1.0;
+        let allowed = self.balance >= 1.0;
         if allowed {
-            self.left -= 1.0;
+            self.balance -= 1.0;
         }
         allowed
     }
--- a/crates/stageyoke-policy/src/token_bucket.rs
+++ b/crates/stageyoke-policy/src/token_bucket.rs
@@ -1,19 +1,19 @@
-//! A token bucket.
+//! Token bucket rate limiter.
 
 use std::time::Duration;
 
-/// How many requests may be made.
+/// Request rate and burst size that a limiter allows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Requests a second.
+    /// Sustained rate, in requests per second.
     pub per_second: f64,
-    /// Requests beyond that at once.
+    /// Additional requests that may arrive at once.
     pub burst: f64,
 }
 
 impl RateLimit {
-    /// A part of this limit. Its burst is one request at least, without which
-    /// nothing would ever be granted.
+    /// Multiplies rate and burst by `factor`. The burst stays at least one request, since
+    /// a smaller bucket would never grant one.
     pub fn scaled(self, factor: f64) -> Self {
         Self {
             per_second: self.per_second * factor,
@@ -21,62 +21,63 @@
         }
     }
 
-    /// Room of a bucket: a limit without a burst still grants one at a time.
-    fn room(self) -> f64 {
+    /// Bucket size in tokens: at least one, so that a limit without a burst still grants
+    /// single requests.
+    fn capacity(self) -> f64 {
         self.burst.max(1.0)
     }
 }
 
-/// Requests that a limit leaves now. Within any time it grants no more than the
-/// limit's rate over that time and one burst.
+/// Token bucket that refills at the limit's rate. Over any span of time it grants at most
+/// the tokens refilled in that span and one burst.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     limit: RateLimit,
-    level: f64,
-    at: Duration,
+    tokens: f64,
+    refilled_at: Duration,
 }
 
 impl TokenBucket {
-    /// A bucket that holds so many requests, or its whole room if that is less.
-    pub fn new(limit: RateLimit, level: f64, now: Duration) -> Self {
+    /// Creates a bucket that holds `tokens`, clamped to its capacity.
+    pub fn new(limit: RateLimit, tokens: f64, now: Duration) -> Self {
         Self {
             limit,
-            level: level.clamp(0.0, limit.room()),
-            at: now,
+            tokens: tokens.clamp(0.0, limit.capacity()),
+            refilled_at: now,
         }
     }
 
-    /// The limit in force.
+    /// Limit at which the bucket refills.
     pub fn limit(&self) -> RateLimit {
         self.limit
     }
 
-    /// Another limit is in force from now on.
+    /// Replaces the limit; tokens above the new capacity are dropped.
     pub fn set_limit(&mut self, limit: RateLimit, now: Duration) {
         self.refill(now);
         self.limit = limit;
-        self.level = self.level.min(limit.room());
+        self.tokens = self.tokens.min(limit.capacity());
     }
 
-    /// Requests that it holds.
-    pub fn level(&mut self, now: Duration) -> f64 {
+    /// Number of tokens available at `now`.
+    pub fn available(&mut self, now: Duration) -> f64 {
         self.refill(now);
-        self.level
+        self.tokens
     }
 
-    /// Takes one request, if it holds one.
+    /// Takes one token; returns false if less than one is available.
     pub fn try_acquire(&mut self, now: Duration) -> bool {
-        let granted = self.level(now) >= 1.0;
+        let granted = self.available(now) >= 1.0;
         if granted {
-            self.level -= 1.0;
+            self.tokens -= 1.0;
         }
         granted
     }
 
     fn refill(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.at);
-        let gained = passed.as_secs_f64() * self.limit.per_second;
-        self.level = (self.level + gained).min(self.limit.room());
-        self.at = self.at.max(now);
+        let elapsed = now.saturating_sub(self.refilled_at);
+        let refill = elapsed.as_secs_f64() * self.limit.per_second;
+        self.tokens = (self.tokens + refill).min(self.limit.capacity());
+        self.refilled_at = self.refilled_at.max(now);
     }
 }
--- a/crates/stageyoke-policy/tests/program_quota_test.rs
+++ b/crates/stageyoke-policy/tests/program_quota_test.rs
@@ -1,5 +1,5 @@
-//! A tenant's limit under the load of programs: how many end, against requests that
-//! are granted as they come.
+//! Tests how many programs finish within a tenant's limit if quota is decided by program,
+//! compared with granting requests in the order of arrival.
 
 mod support;
 
@@ -7,9 +7,9 @@
 
 use rstest::rstest;
 use stageyoke_policy::quota::{AcquireRequest, QuotaDecision, QuotaLedger, QuotaTolerance};
+use stageyoke_policy::sliding_window::SlidingWindow;
 use stageyoke_policy::token_bucket::RateLimit;
-use stageyoke_policy::window::Window;
-use support::{Gate, Load, Seen, play, play_all};
+use support::{Load, Outcome, RequestLimiter, simulate, simulate_all};
 
 const SEEDS: u64 = 12;
 const TOLERANCE: QuotaTolerance = QuotaTolerance {
@@ -18,21 +18,22 @@
     slack: 20.0,
 };
 
+/// Tolerates no excess.
 const EXACT: QuotaTolerance = QuotaTolerance {
     excess: 0.0,
     slack: 0.0,
     ..TOLERANCE
 };
 
-/// Requests are granted as they come.
-struct AsTheyCome {
+/// Grants requests in the order of arrival, whichever program they belong to.
+struct ArrivalOrderLimiter {
     limit: RateLimit,
-    windows: Vec<Window>,
+    windows: Vec<SlidingWindow>,
 }
 
-impl AsTheyCome {
+impl ArrivalOrderLimiter {
     fn new(limit: RateLimit, tenants: u64) -> Self {
-        let window = Window::new(TOLERANCE.window, Duration::ZERO);
+        let window = SlidingWindow::new(TOLERANCE.window, Duration::ZERO);
         Self {
             limit,
             windows: vec![window; tenants as usize],
@@ -40,172 +41,183 @@
     }
 }
 
-impl Gate for AsTheyCome {
-    fn ask(&mut self, tenant: u64, _: u64, now: Duration) -> Result<(), Duration> {
+impl RequestLimiter for ArrivalOrderLimiter {
+    fn acquire(&mut self, tenant: u64, _: u64, now: Duration) -> Result<(), Duration> {
         let window = &mut self.windows[tenant as usize];
-        let allowed = window.allowed(self.limit) as u32;
-        if window.count(now) < allowed {
-            window.add(now);
+        let capacity = window.capacity(self.limit) as u32;
+        if window.count(now) < capacity {
+            window.record(now);
             return Ok(());
         }
-        let wait = window.time_until(allowed - 1, now);
+        let wait = window.time_until_at_most(capacity - 1, now);
         Err(wait.clamp(Duration::from_millis(100), Duration::from_millis(1500)))
     }
 }
 
-/// The owner's ledger.
-struct Ledger {
+/// Decides by program, with the ledger of an owner.
+struct LedgerLimiter {
     limit: RateLimit,
     ledger: QuotaLedger,
 }
 
-impl Gate for Ledger {
-    fn ask(&mut self, tenant: u64, program: u64, now: Duration) -> Result<(), Duration> {
-        let question = AcquireRequest {
+impl RequestLimiter for LedgerLimiter {
+    fn acquire(&mut self, tenant: u64, program: u64, now: Duration) -> Result<(), Duration> {
+        let request = AcquireRequest {
             tenant,
             program,
             limit: self.limit,
             version: 1,
             standby: false,
         };
-        match self
-            .ledger
-            .acquire(&question, now + Duration::from_secs(60))
-        {
+        match self.ledger.acquire(&request, now + Duration::from_secs(60)) {
             QuotaDecision::Granted => Ok(()),
-            QuotaDecision::Rejected(after) => Err(after),
-            QuotaDecision::Unknown => panic!("the ledger has room"),
+            QuotaDecision::Rejected(retry_after) => Err(retry_after),
+            QuotaDecision::Unknown => panic!("the ledger is full"),
         }
     }
 }
 
-fn sum(load: Load, mut gate: impl FnMut(RateLimit, u64) -> Seen) -> Seen {
-    let mut all = Seen::default();
+/// Adds up the outcomes over all seeds; the excess is the largest one.
+fn sum(load: Load, mut simulate: impl FnMut(RateLimit, u64) -> Outcome) -> Outcome {
+    let mut all = Outcome::default();
     for seed in 0..SEEDS {
-        let seen = gate(load.limit, seed);
-        all.begun += seen.begun;
-        all.ended += seen.ended;
-        all.turned_away += seen.turned_away;
-        all.cut += seen.cut;
-        all.granted += seen.granted;
-        all.wasted += seen.wasted;
-        all.excess = all.excess.max(seen.excess);
+        let outcome = simulate(load.limit, seed);
+        all.started += outcome.started;
+        all.finished += outcome.finished;
+        all.rejected += outcome.rejected;
+        all.aborted += outcome.aborted;
+        all.granted += outcome.granted;
+        all.wasted += outcome.wasted;
+        all.excess = all.excess.max(outcome.excess);
     }
     all
 }
 
-/// Limits of a small, a middle and a large tenant.
+/// Limits of a small, a medium and a large tenant, in requests per second.
 const RATES: [f64; 3] = [22.0, 46.0, 290.0];
 
-fn load(rate: f64, factor: f64) -> Load {
+fn load(rate: f64, load_factor: f64) -> Load {
     Load {
         tenants: 8,
         limit: RateLimit {
             per_second: rate,
             burst: rate,
         },
-        factor,
-        others: 1.0,
-        length: 40_000,
+        load_factor,
+        other_load_factor: 1.0,
+        length_milliseconds: 40_000,
     }
 }
 
-fn as_they_come(load: Load) -> Seen {
+fn simulate_arrival_order(load: Load) -> Outcome {
     sum(load, |limit, seed| {
-        play(load, &mut AsTheyCome::new(limit, load.tenants), seed)
+        simulate(
+            load,
+            &mut ArrivalOrderLimiter::new(limit, load.tenants),
+            seed,
+        )
     })
 }
 
-fn by_program(load: Load, tolerance: QuotaTolerance) -> Seen {
+fn simulate_ledger(load: Load, tolerance: QuotaTolerance) -> Outcome {
     sum(load, |limit, seed| {
         let ledger = QuotaLedger::default().with_tolerance(tolerance);
-        play(load, &mut Ledger { limit, ledger }, seed)
+        simulate(load, &mut LedgerLimiter { limit, ledger }, seed)
     })
 }
 
-/// The most that may run beyond a limit: half of what is tolerated.
-fn overdraft(limit: RateLimit) -> i64 {
+/// Largest excess that programs in flight may cause: half of the tolerated one.
+fn max_overdraft(limit: RateLimit) -> i64 {
     let allowed = limit.per_second * TOLERANCE.window.as_secs_f64() + limit.burst;
     ((allowed * TOLERANCE.excess + TOLERANCE.slack) / 2.0).ceil() as i64
 }
 
-/// A hot tenant: more of its programs end than where requests are granted as they
-/// come, and hardly one is cut that has begun. Prints both.
+/// Guards against started programs that are aborted while a tenant sends several times its
+/// limit. Prints the outcome of both limiters.
 #[rstest]
-fn more_programs_of_a_hot_tenant_end(#[values(1.7, 3.0, 7.5)] factor: f64) {
+fn more_programs_of_an_overloaded_tenant_finish(#[values(1.7, 3.0, 7.5)] load_factor: f64) {
     for rate in RATES {
-        let load = load(rate, factor);
-        let before = as_they_come(load);
-        let after = by_program(load, TOLERANCE);
+        let load = load(rate, load_factor);
+        let arrival_order = simulate_arrival_order(load);
+        let by_program = simulate_ledger(load, TOLERANCE);
         println!(
-            "{rate} a second, {factor} x\n  as they come {before:?}\n  by program   {after:?}"
+            "{rate} requests/s, {load_factor} x\n  arrival order {arrival_order:?}\n  by program    {by_program:?}"
+        );
+        let (more, less) = (
+            by_program.finished * arrival_order.started,
+            arrival_order.finished * by_program.started,
+        );
+        assert!(more > less, "{rate}: {arrival_order:?} {by_program:?}");
+        assert!(
+            by_program.aborted * 25 <= by_program.started,
+            "{rate}: {by_program:?}"
+        );
+        assert!(
+            by_program.excess <= max_overdraft(load.limit),
+            "{rate}: {by_program:?}"
         );
-        let (more, less) = (after.ended * before.begun, before.ended * after.begun);
-        assert!(more > less, "{rate}: {before:?} {after:?}");
-        assert!(after.cut * 25 <= after.begun, "{rate}: {after:?}");
-        assert!(after.excess <= overdraft(load.limit), "{rate}: {after:?}");
     }
 }
 
-/// Usual load, at which the limit suffices but for chance: hardly a program is turned
-/// away, and as many end as where nothing is decided by program.
+/// Guards against rejections at the usual load, which exceeds the limit only by chance.
 #[test]
-fn a_tenant_within_its_limit_is_hardly_ever_turned_away() {
+fn programs_at_the_usual_load_are_hardly_ever_rejected() {
     for rate in RATES {
         let load = load(rate, 1.0);
-        let before = as_they_come(load);
-        let after = by_program(load, TOLERANCE);
-        println!("{rate} a second\n  as they come {before:?}\n  by program   {after:?}");
-        let lost = after.turned_away + after.cut;
-        assert!(lost * 25 <= after.begun, "{rate}: {after:?}");
+        let arrival_order = simulate_arrival_order(load);
+        let by_program = simulate_ledger(load, TOLERANCE);
+        println!(
+            "{rate} requests/s\n  arrival order {arrival_order:?}\n  by program    {by_program:?}"
+        );
+        let lost = by_program.rejected + by_program.aborted;
+        assert!(lost * 25 <= by_program.started, "{rate}: {by_program:?}");
         assert!(
-            lost <= before.turned_away + before.cut + 2,
-            "{rate}: {before:?} {after:?}"
+            lost <= arrival_order.rejected + arrival_order.aborted + 2,
+            "{rate}: {arrival_order:?} {by_program:?}"
         );
     }
 }
 
-/// The share of programs that end of the worst tenth of the tenants but the hot one.
-fn worst_tenth(factor: f64) -> f64 {
+/// Mean share of finished programs over the worst tenth of the tenants, without the first.
+fn worst_tenth_finished_share(load_factor: f64) -> f64 {
     let load = Load {
         tenants: 80,
-        ..load(22.0, factor)
+        ..load(22.0, load_factor)
     };
-    let mut others = vec![Seen::default(); load.tenants as usize - 1];
+    let mut others = vec![Outcome::default(); load.tenants as usize - 1];
     for seed in 0..3 {
         let limit = load.limit;
         let ledger = QuotaLedger::default().with_tolerance(TOLERANCE);
-        let all = play_all(load, &mut Ledger { limit, ledger }, seed);
-        for (sum, seen) in others.iter_mut().zip(&all[1..]) {
-            sum.begun += seen.begun;
-            sum.ended += seen.ended;
+        let all = simulate_all(load, &mut LedgerLimiter { limit, ledger }, seed);
+        for (sum, outcome) in others.iter_mut().zip(&all[1..]) {
+            sum.started += outcome.started;
+            sum.finished += outcome.finished;
         }
     }
-    let share = |seen: &Seen| seen.ended as f64 / seen.begun.max(1) as f64;
+    let share = |outcome: &Outcome| outcome.finished as f64 / outcome.started.max(1) as f64;
     let mut shares: Vec<f64> = others.iter().map(share).collect();
     shares.sort_unstable_by(f64::total_cmp);
-    let tenth = &shares[..shares.len() / 10];
-    tenth.iter().sum::<f64>() / tenth.len() as f64
+    let worst = &shares[..shares.len() / 10];
+    worst.iter().sum::<f64>() / worst.len() as f64
 }
 
-/// What programs ask for is learnt from all tenants of an owner: a large one that sends
-/// 7.5 times its usual must not make the others' programs look as if they did not fit.
+/// Guards against one overloaded tenant that distorts the demand estimate, which all tenants
+/// of an owner share, so that programs of the others are rejected.
 #[test]
-fn a_hot_tenant_takes_nothing_from_the_worst_served_of_the_others() {
-    let (calm, beside_a_hot_one) = (worst_tenth(1.0), worst_tenth(7.5));
-    println!("worst tenth of 79 tenants: {calm:.3}, beside a hot one {beside_a_hot_one:.3}");
-    assert!(calm > 0.85, "{calm}");
-    assert!(
-        beside_a_hot_one > calm - 0.02,
-        "{beside_a_hot_one} of {calm}"
+fn an_overloaded_tenant_does_not_affect_programs_of_other_tenants() {
+    let (usual, overloaded) = (
+        worst_tenth_finished_share(1.0),
+        worst_tenth_finished_share(7.5),
     );
+    println!("worst tenth of 79 tenants: {usual:.3}, beside an overloaded one {overloaded:.3}");
+    assert!(usual > 0.85, "{usual}");
+    assert!(overloaded > usual - 0.02, "{overloaded} of {usual}");
 }
 
-/// Without a tolerance nothing runs beyond the limit.
 #[test]
-fn without_a_tolerance_the_limit_is_exact() {
+fn a_ledger_without_tolerance_never_exceeds_the_limit() {
     for rate in RATES {
-        let seen = by_program(load(rate, 7.5), EXACT);
-        assert!(seen.excess <= 0, "{rate}: {seen:?}");
+        let outcome = simulate_ledger(load(rate, 7.5), EXACT);
+        assert!(outcome.excess <= 0, "{rate}: {outcome:?}");
     }
 }
--- a/crates/stageyoke-policy/tests/quota_test.rs
+++ b/crates/stageyoke-policy/tests/quota_test.rs
@@ -1,5 +1,5 @@
-//! Owners of tenants' limits: what they grant in any time, who goes first where a
-//! limit is short, and what fails with them.
+//! Tests that owners of quotas stay within the limits, prefer started programs, and survive
+//! failover, refunds and changes of a limit.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,8 +10,8 @@
 use stageyoke_policy::quota::{
     AcquireRequest, GrantReceipt, QuotaDecision, QuotaLedger, QuotaTolerance,
 };
+use stageyoke_policy::sliding_window::SlidingWindow;
 use stageyoke_policy::token_bucket::RateLimit;
-use stageyoke_policy::window::Window;
 
 const WINDOW: Duration = Duration::from_secs(5);
 const LIMIT: RateLimit = RateLimit {
@@ -19,7 +19,7 @@
     burst: 40.0,
 };
 
-/// Nothing is tolerated beyond a limit, which holds over the window.
+/// Tolerates no excess.
 const EXACT: QuotaTolerance = QuotaTolerance {
     window: WINDOW,
     excess: 0.0,
@@ -30,8 +30,8 @@
     QuotaLedger::default().with_tolerance(EXACT)
 }
 
-/// Long after an owner began to count.
-fn later(milliseconds: u64) -> Duration {
+/// Test time at this offset; the owner has a full window at offset zero.
+fn at_milliseconds(milliseconds: u64) -> Duration {
     Duration::from_secs(100) + Duration::from_millis(milliseconds)
 }
 
@@ -39,7 +39,7 @@
     Duration::from_millis(time)
 }
 
-fn question(program: u64) -> AcquireRequest {
+fn request(program: u64) -> AcquireRequest {
     AcquireRequest {
         tenant: 1,
         program,
@@ -49,20 +49,20 @@
     }
 }
 
-/// The most of these moments that lie within any window.
-fn most_in_window(grants: &[Duration]) -> usize {
+/// Largest number of grants within any window.
+fn max_in_window(grants: &[Duration]) -> usize {
     let mut first = 0;
-    let mut most = 0;
+    let mut max_grants = 0;
     for (last, at) in grants.iter().enumerate() {
         while grants[first] + WINDOW <= *at {
             first += 1;
         }
-        most = most.max(last + 1 - first);
+        max_grants = max_grants.max(last + 1 - first);
     }
-    most
+    max_grants
 }
 
-fn allowed(limit: RateLimit) -> usize {
+fn capacity(limit: RateLimit) -> usize {
     (limit.per_second * WINDOW.as_secs_f64() + limit.burst).ceil() as usize
 }
 
@@ -73,298 +73,308 @@
         ..ProptestConfig::default()
     })]
 
-    /// However requests arrive, no window holds more grants than rate and burst.
     #[test]
-    fn one_owner_never_grants_more_than_the_limit(
-        pauses in proptest::collection::vec(0_u64..40, 1..1500),
+    fn an_owner_never_exceeds_the_limit(
+        gaps in proptest::collection::vec(0_u64..40, 1..1500),
         programs in 1_u64..200,
     ) {
         let mut ledger = ledger();
         let mut now = Duration::ZERO;
         let mut grants = Vec::new();
-        for (number, pause) in pauses.into_iter().enumerate() {
-            now += milliseconds(pause);
+        for (number, gap) in gaps.into_iter().enumerate() {
+            now += milliseconds(gap);
             let program = number as u64 % programs;
-            if ledger.acquire(&question(program), now) == QuotaDecision::Granted {
+            if ledger.acquire(&request(program), now) == QuotaDecision::Granted {
                 grants.push(now);
             }
         }
-        prop_assert!(most_in_window(&grants) <= allowed(LIMIT));
+        prop_assert!(max_in_window(&grants) <= capacity(LIMIT));
     }
 
-    /// The first owner dies at any moment; the second has counted what it was told
-    /// of, all but the grants of the last moment.
+    /// The first owner fails after the second has counted all but its latest grants.
     #[test]
-    fn the_second_owner_goes_on_where_the_first_stopped(
-        pauses in proptest::collection::vec(0_u64..20, 200..1500),
-        dies_after in 0_usize..1500,
-        lost in 0_usize..10,
+    fn a_failover_exceeds_the_limit_only_by_unreported_grants(
+        gaps in proptest::collection::vec(0_u64..20, 200..1500),
+        fails_after in 0_usize..1500,
+        unreported in 0_usize..10,
     ) {
         let mut owners = [ledger(), ledger()];
         let mut now = Duration::ZERO;
         let mut grants = Vec::new();
-        for (number, pause) in pauses.into_iter().enumerate() {
-            now += milliseconds(pause);
-            let asked = usize::from(number >= dies_after);
-            if owners[asked].acquire(&question(0), now) == QuotaDecision::Granted {
+        for (number, gap) in gaps.into_iter().enumerate() {
+            now += milliseconds(gap);
+            let owner = usize::from(number >= fails_after);
+            if owners[owner].acquire(&request(0), now) == QuotaDecision::Granted {
                 grants.push(now);
-                if asked == 0 && number + lost < dies_after {
-                    owners[1].count(&question(0), now);
+                if owner == 0 && number + unreported < fails_after {
+                    owners[1].count(&request(0), now);
                 }
             }
         }
-        prop_assert!(most_in_window(&grants) <= allowed(LIMIT) + lost);
+        prop_assert!(max_in_window(&grants) <= capacity(LIMIT) + unreported);
     }
 
-    /// Requests that were granted and not run are given back, some late, some never,
-    /// under one version of the limit or the next, before a restart of the owner or
-    /// after it: what did run stays within the limit.
+    /// Grants that are not run are refunded after a delay or not at all, across versions of
+    /// the limit and restarts of the owner.
     #[test]
-    fn what_is_given_back_never_lets_more_run(
+    fn refunds_never_let_more_requests_run_than_the_limit(
         requests in proptest::collection::vec((0_u64..12, 0_u64..4, 0_u64..8_000), 200..2500),
         versions in 1_u64..4,
         restarted in any::<bool>(),
     ) {
         let mut ledger = ledger().with_incarnation(1);
-        let mut now = later(0);
+        let mut now = at_milliseconds(0);
         let mut ran = Vec::new();
-        let mut returns: BTreeMap<(Duration, usize), GrantReceipt> = BTreeMap::new();
-        for (number, (pause, fate, delay)) in requests.into_iter().enumerate() {
-            now += milliseconds(pause);
-            while let Some(((at, _), receipt)) = returns.first_key_value()
+        let mut refunds: BTreeMap<(Duration, usize), GrantReceipt> = BTreeMap::new();
+        for (number, (gap, draw, delay)) in requests.into_iter().enumerate() {
+            now += milliseconds(gap);
+            while let Some(((at, _), receipt)) = refunds.first_key_value()
                 && *at <= now
             {
                 ledger.refund(1, *receipt, now);
-                returns.pop_first();
+                refunds.pop_first();
             }
-            let asked = AcquireRequest {
+            let request = AcquireRequest {
                 version: 1 + number as u64 * versions / 2500,
-                ..question(0)
+                ..request(0)
             };
-            if ledger.acquire(&asked, now) != QuotaDecision::Granted {
+            if ledger.acquire(&request, now) != QuotaDecision::Granted {
                 continue;
             }
             let receipt = ledger.receipt(1, now).expect("a receipt");
-            // One request in four is refused elsewhere, and in eight its return is lost.
-            let (runs, life) = (fate > 0, u64::from(restarted && delay % 2 == 0));
+            // One request in four does not run, and one refund in eight is lost.
+            let (runs, restarts) = (draw > 0, u64::from(restarted && delay % 2 == 0));
             if runs {
                 ran.push(now);
             } else if delay % 8 != 0 {
-                let receipt = GrantReceipt { incarnation: 1 + life, ..receipt };
-                returns.insert((now + milliseconds(delay), number), receipt);
+                let receipt = GrantReceipt { incarnation: 1 + restarts, ..receipt };
+                refunds.insert((now + milliseconds(delay), number), receipt);
             }
         }
-        prop_assert!(most_in_window(&ran) <= allowed(LIMIT));
+        prop_assert!(max_in_window(&ran) <= capacity(LIMIT));
     }
 
-    /// A window counts what it was given, in any order of looks, and nothing that has
-    /// left it.
+    /// Compares the counts with an exact list of the requests, up to one slot of the window.
     #[test]
-    fn a_window_holds_the_requests_of_its_length(
-        pauses in proptest::collection::vec(0_u64..400, 1..200),
-        ahead in 0_u64..5_000,
+    fn a_sliding_window_counts_exactly_the_requests_within_its_length(
+        gaps in proptest::collection::vec(0_u64..400, 1..200),
+        delay in 0_u64..5_000,
     ) {
-        let mut window = Window::new(WINDOW, Duration::ZERO);
-        let mut made: Vec<Duration> = Vec::new();
+        let mut window = SlidingWindow::new(WINDOW, Duration::ZERO);
+        let mut recorded: Vec<Duration> = Vec::new();
         let mut now = Duration::ZERO;
-        for pause in pauses {
-            now += milliseconds(pause);
-            window.add(now);
-            made.push(now);
-            let slack = milliseconds(50);
-            let within = |span: Duration| made.iter().filter(|at| **at + span > now).count() as u32;
+        for gap in gaps {
+            now += milliseconds(gap);
+            window.record(now);
+            recorded.push(now);
+            let slot = milliseconds(50);
+            let within = |span: Duration| recorded.iter().filter(|at| **at + span > now).count() as u32;
             let count = window.count(now);
-            prop_assert!(within(WINDOW - slack) <= count && count <= within(WINDOW + slack));
-            let ahead = milliseconds(ahead);
-            let staying = window.count_after(ahead, now);
-            prop_assert!(staying >= within((WINDOW - ahead).saturating_sub(slack)));
-            prop_assert!(staying <= within(WINDOW - ahead + slack * 2));
-            let wait = window.time_until(count / 2, now);
+            prop_assert!(within(WINDOW - slot) <= count && count <= within(WINDOW + slot));
+            let delay = milliseconds(delay);
+            let remaining = window.count_after(delay, now);
+            prop_assert!(remaining >= within((WINDOW - delay).saturating_sub(slot)));
+            prop_assert!(remaining <= within(WINDOW - delay + slot * 2));
+            let wait = window.time_until_at_most(count / 2, now);
             prop_assert!(window.count_after(wait, now) <= count / 2);
         }
     }
 }
 
-/// Without what it assumes an owner in place of others grants all that the limit
-/// allows in a window again: the test of its bound bites.
+/// Guards against a standby owner that grants the whole limit again after a failover.
 #[test]
-fn an_owner_in_place_of_others_assumes_that_most_was_granted() {
+fn a_standby_owner_assumes_that_most_of_the_limit_was_granted() {
     let granted_at_once = |standby: bool| {
         let mut ledger = ledger();
-        let asked = AcquireRequest {
+        let request = AcquireRequest {
             standby,
-            ..question(0)
+            ..request(0)
         };
         (0..400)
-            .filter(|_| ledger.acquire(&asked, later(0)) == QuotaDecision::Granted)
+            .filter(|_| ledger.acquire(&request, at_milliseconds(0)) == QuotaDecision::Granted)
             .count()
     };
-    assert_eq!(granted_at_once(false), 240, "it has counted for long");
+    assert_eq!(granted_at_once(false), 240, "the owner has a full window");
     assert_eq!(granted_at_once(true), 24);
 }
 
-/// What was not run makes room at once, but only for as long as it was counted.
+/// Guards against refunds with a receipt from another incarnation, or of requests that have
+/// left the window.
 #[test]
-fn a_request_that_was_not_run_is_there_again() {
+fn a_refund_frees_quota_only_while_the_request_is_counted() {
     let mut ledger = ledger().with_incarnation(7);
     let granted = |ledger: &mut QuotaLedger, time: u64| {
-        let asks = 0..300;
-        asks.filter(|_| ledger.acquire(&question(0), later(time)) == QuotaDecision::Granted)
+        let attempts = 0..300;
+        attempts
+            .filter(|_| {
+                ledger.acquire(&request(0), at_milliseconds(time)) == QuotaDecision::Granted
+            })
             .count()
     };
     assert_eq!(granted(&mut ledger, 0), 240);
-    let receipt = ledger.receipt(1, later(0)).expect("a receipt");
-    let of_another_life = GrantReceipt {
+    let receipt = ledger.receipt(1, at_milliseconds(0)).expect("a receipt");
+    let other_incarnation = GrantReceipt {
         incarnation: 8,
         ..receipt
     };
-    ledger.refund(1, of_another_life, later(100));
+    ledger.refund(1, other_incarnation, at_milliseconds(100));
     assert_eq!(granted(&mut ledger, 100), 0);
     for _ in 0..3 {
-        ledger.refund(1, receipt, later(100));
+        ledger.refund(1, receipt, at_milliseconds(100));
     }
     assert_eq!(granted(&mut ledger, 100), 3);
-    // Its slot has left the window: nothing is there to be taken back.
+    // The slot of the receipt has left the window.
     assert_eq!(granted(&mut ledger, 5_060), 237);
-    ledger.refund(1, receipt, later(5_060));
+    ledger.refund(1, receipt, at_milliseconds(5_060));
     assert_eq!(granted(&mut ledger, 5_060), 0);
 }
 
-/// Programs of a run.
+/// Numbers of programs in a simulation.
 #[derive(Debug, Default)]
-struct Programs {
-    begun: u64,
-    ended: usize,
-    /// Refused after their first request.
-    cut: usize,
+struct Outcome {
+    started: u64,
+    finished: usize,
+    /// Programs with a rejected request after their first one.
+    aborted: usize,
 }
 
-/// One program of 30 requests begins each `pause` milliseconds for 30 s, and asks
-/// for its next request 100 ms after the last; one refused request ends it. The
-/// owner has met such programs of another tenant before.
-fn run_programs(pause: u64, told_programs: bool) -> Programs {
+/// Starts a program of 30 requests every `period` milliseconds for 30 s. It makes a request
+/// every 100 ms, and ends when one is rejected. The owner has a demand estimate from programs
+/// of another tenant.
+fn run_programs(period: u64, with_program: bool) -> Outcome {
     let mut ledger = ledger();
     for number in 0..300 {
         let other = AcquireRequest {
             tenant: 2,
-            ..question(1_000_000 + number / 30)
+            ..request(1_000_000 + number / 30)
         };
-        let _ = ledger.acquire(&other, later(0) - milliseconds((300 - number) * 100));
+        let _ = ledger.acquire(
+            &other,
+            at_milliseconds(0) - milliseconds((300 - number) * 100),
+        );
     }
     let mut running: Vec<(u64, u64, u32)> = Vec::new();
-    let mut seen = Programs::default();
+    let mut outcome = Outcome::default();
     for time in 0..30_000_u64 {
-        if time % pause == 0 {
-            seen.begun += 1;
-            running.push((seen.begun, time, 30));
+        if time % period == 0 {
+            outcome.started += 1;
+            running.push((outcome.started, time, 30));
         }
-        running.retain_mut(|(program, next, left)| {
-            if *next != time {
+        running.retain_mut(|(program, next_request_at, requests_left)| {
+            if *next_request_at != time {
                 return true;
             }
-            let asked = question(if told_programs { *program } else { 0 });
-            if ledger.acquire(&asked, later(time)) != QuotaDecision::Granted {
-                seen.cut += usize::from(*left < 30);
+            let request = request(if with_program { *program } else { 0 });
+            if ledger.acquire(&request, at_milliseconds(time)) != QuotaDecision::Granted {
+                outcome.aborted += usize::from(*requests_left < 30);
                 return false;
             }
-            *next += 100;
-            *left -= 1;
-            seen.ended += usize::from(*left == 0);
-            *left > 0
+            *next_request_at += 100;
+            *requests_left -= 1;
+            outcome.finished += usize::from(*requests_left == 0);
+            *requests_left > 0
         });
     }
-    seen
+    outcome
 }
 
-/// A hot tenant: its programs need three and seven times its limit, which is enough
-/// for 41 of them in 30 s, the last four of which have not ended then.
+/// Guards against aborted programs when a tenant needs three or seven times its limit. The
+/// limit suffices for 41 programs in 30 s, of which the last four don't finish in time.
 #[rstest]
-#[case::three_times(250, 4)]
-#[case::seven_times(107, 40)]
-fn a_hot_tenants_limit_goes_to_programs_that_can_end(#[case] pause: u64, #[case] wasted: usize) {
-    let by_request = run_programs(pause, false);
-    let by_program = run_programs(pause, true);
+#[case::three_times_the_limit(250, 4)]
+#[case::seven_times_the_limit(107, 40)]
+fn an_overloaded_tenants_limit_goes_to_programs_that_can_finish(
+    #[case] period: u64,
+    #[case] min_aborted_by_request: usize,
+) {
+    let by_request = run_programs(period, false);
+    let by_program = run_programs(period, true);
     println!("by request {by_request:?}, by program {by_program:?}");
     assert!(
-        by_program.ended >= 32 && by_program.cut <= 4,
+        by_program.finished >= 32 && by_program.aborted <= 4,
         "{by_program:?}"
     );
-    assert!(by_request.cut >= wasted, "{by_request:?}");
+    assert!(
+        by_request.aborted >= min_aborted_by_request,
+        "{by_request:?}"
+    );
 }
 
-/// Within its limit a tenant is never refused.
 #[test]
-fn programs_within_the_limit_all_end() {
-    let seen = run_programs(1_500, true);
+fn all_programs_within_the_limit_finish() {
+    let outcome = run_programs(1_500, true);
     assert!(
-        seen.cut == 0 && seen.begun as usize - seen.ended <= 2,
-        "{seen:?}"
+        outcome.aborted == 0 && outcome.started as usize - outcome.finished <= 2,
+        "{outcome:?}"
     );
 }
 
-/// However small its limit, a tenant runs one program at a time.
+/// Guards against a tenant that can never start a program, since its limit is below the
+/// expected demand of one.
 #[test]
-fn a_tenant_whose_limit_is_less_than_one_program_still_begins_one() {
+fn a_limit_below_the_demand_of_one_program_still_admits_one() {
     let mut ledger = ledger();
     for number in 0..400 {
         let other = AcquireRequest {
             tenant: 2,
-            ..question(7)
+            ..request(7)
         };
-        let _ = ledger.acquire(&other, later(number * 10));
+        let _ = ledger.acquire(&other, at_milliseconds(number * 10));
     }
     let small = AcquireRequest {
         limit: RateLimit {
             per_second: 1.0,
             burst: 1.0,
         },
-        ..question(1)
+        ..request(1)
     };
-    assert_eq!(ledger.acquire(&small, later(4_000)), QuotaDecision::Granted);
+    assert_eq!(
+        ledger.acquire(&small, at_milliseconds(4_000)),
+        QuotaDecision::Granted
+    );
 }
 
-/// The newest configuration's limit holds; an older one changes nothing.
+/// Guards against a front with an old configuration that resets the limit.
 #[test]
-fn the_newest_configurations_limit_holds() {
+fn the_limit_of_the_newest_configuration_is_enforced() {
     let mut ledger = ledger();
-    let now = later(0);
+    let now = at_milliseconds(0);
     let lower = AcquireRequest {
         version: 2,
         limit: RateLimit {
             per_second: 0.2,
             burst: 2.0,
         },
-        ..question(0)
+        ..request(0)
     };
-    assert_eq!(ledger.acquire(&question(0), now), QuotaDecision::Granted);
-    for asked in [&lower, &question(0), &lower] {
-        assert_eq!(ledger.acquire(asked, now), QuotaDecision::Granted);
+    assert_eq!(ledger.acquire(&request(0), now), QuotaDecision::Granted);
+    for request in [&lower, &request(0), &lower] {
+        assert_eq!(ledger.acquire(request, now), QuotaDecision::Granted);
     }
     assert!(matches!(
-        ledger.acquire(&question(0), now),
+        ledger.acquire(&request(0), now),
         QuotaDecision::Rejected(_)
     ));
 }
 
-/// A limit is lowered while much of the former one was used: the lower one is there
-/// at once, from the moment of the change on, and no window holds more than the
-/// former one allowed.
+/// Guards against a tenant that is blocked after its limit is lowered, and against grants
+/// above the former limit in a window that spans the change.
 #[rstest]
-#[case::little(60, 90, 90)]
-#[case::nearly_all(220, 90, 20)]
-fn a_lowered_limit_counts_from_the_change_on(
-    #[case] before: usize,
-    #[case] lowered: usize,
-    #[case] granted_at_once: usize,
+#[case::little_used(60, 90, 90)]
+#[case::nearly_used_up(220, 90, 20)]
+fn a_lowered_limit_ignores_requests_before_the_change(
+    #[case] granted_before: usize,
+    #[case] lowered_capacity: usize,
+    #[case] expected_at_once: usize,
 ) {
     let mut ledger = ledger();
     let mut grants = Vec::new();
-    for _ in 0..before {
+    for _ in 0..granted_before {
         assert_eq!(
-            ledger.acquire(&question(0), later(0)),
+            ledger.acquire(&request(0), at_milliseconds(0)),
             QuotaDecision::Granted
         );
-        grants.push(later(0));
+        grants.push(at_milliseconds(0));
     }
     let lower = AcquireRequest {
         version: 2,
@@ -372,25 +382,25 @@
             per_second: 15.0,
             burst: 15.0,
         },
-        ..question(0)
+        ..request(0)
     };
-    let mut at_once = 0;
+    let mut granted_at_once = 0;
     for time in 0..20_000 {
-        if ledger.acquire(&lower, later(100 + time)) == QuotaDecision::Granted {
-            at_once += usize::from(time < 400);
-            grants.push(later(100 + time));
+        if ledger.acquire(&lower, at_milliseconds(100 + time)) == QuotaDecision::Granted {
+            granted_at_once += usize::from(time < 400);
+            grants.push(at_milliseconds(100 + time));
         }
     }
-    assert_eq!(at_once, granted_at_once);
-    assert!(most_in_window(&grants) <= allowed(LIMIT));
-    let after: Vec<Duration> = grants.split_off(before);
-    assert!(most_in_window(&after) <= lowered);
+    assert_eq!(granted_at_once, expected_at_once);
+    assert!(max_in_window(&grants) <= capacity(LIMIT));
+    let after: Vec<Duration> = grants.split_off(granted_before);
+    assert!(max_in_window(&after) <= lowered_capacity);
 }
 
-/// A limit is lowered by mistake and raised again: the tenant has the higher one at
-/// once, and what it was granted meanwhile counts against it.
+/// Guards against requests that are lost from the count when a limit is lowered and then
+/// raised again.
 #[test]
-fn a_raised_limit_is_there_at_once_and_counts_everything() {
+fn a_raised_limit_applies_at_once_and_counts_all_earlier_requests() {
     let mut ledger = ledger();
     let limited = |version: u64, per_second: f64| AcquireRequest {
         version,
@@ -398,16 +408,17 @@
             per_second,
             burst: per_second,
         },
-        ..question(0)
+        ..request(0)
     };
-    let mut granted = |asked: &AcquireRequest, time: u64, count: usize| {
-        let asks = 0..count;
-        asks.filter(|_| ledger.acquire(asked, later(time)) == QuotaDecision::Granted)
+    let mut granted = |request: &AcquireRequest, time: u64, count: usize| {
+        let attempts = 0..count;
+        attempts
+            .filter(|_| ledger.acquire(request, at_milliseconds(time)) == QuotaDecision::Granted)
             .count()
     };
     assert_eq!(granted(&limited(1, 40.0), 0, 200), 200);
     assert_eq!(granted(&limited(2, 5.0), 100, 100), 30);
-    assert_eq!(granted(&limited(3, 50.0), 200, 200), 70, "300 in all");
+    assert_eq!(granted(&limited(3, 50.0), 200, 200), 70, "300 in total");
     assert_eq!(
         granted(&limited(3, 50.0), 5_150, 400),
         230,
@@ -415,19 +426,19 @@
     );
 }
 
-/// What an owner holds does not grow with the tenants and programs it has met.
+/// Guards against memory that grows with the number of tenants and programs ever seen.
 #[test]
-fn what_has_ended_is_forgotten_and_what_is_held_is_bounded() {
+fn tenants_and_programs_in_memory_are_bounded_and_expire() {
     let mut ledger = ledger();
     for number in 0..120_000 {
-        let asked = AcquireRequest {
+        let request = AcquireRequest {
             tenant: number % 12_000,
-            ..question(number + 1)
+            ..request(number + 1)
         };
-        ledger.acquire(&asked, later(number / 60));
-        assert!(ledger.tenants() <= 10_000);
-        assert!(ledger.programs() <= 50_000);
+        ledger.acquire(&request, at_milliseconds(number / 60));
+        assert!(ledger.tenant_count() <= 10_000);
+        assert!(ledger.program_count() <= 50_000);
     }
-    ledger.acquire(&question(1), Duration::from_secs(3_600));
-    assert_eq!((ledger.tenants(), ledger.programs()), (1, 1));
+    ledger.acquire(&request(1), Duration::from_secs(3_600));
+    assert_eq!((ledger.tenant_count(), ledger.program_count()), (1, 1));
 }
--- a/crates/stageyoke-policy/tests/retry_budget_test.rs
+++ b/crates/stageyoke-policy/tests/retry_budget_test.rs
@@ -1,4 +1,4 @@
-//! Retries stay a part of all requests.
+//! Tests that retries stay a bounded fraction of all requests.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -11,21 +11,21 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever comes in whatever order: a tenth of the requests, and twenty.
+    /// Allows at most a tenth of the requests plus a burst of 20, in any order.
     #[test]
-    fn retries_are_a_part_of_all_requests(wanted in proptest::collection::vec(any::<bool>(), 1..2000)) {
+    fn retries_never_exceed_the_budget(timed_out in proptest::collection::vec(any::<bool>(), 1..2000)) {
         let mut budget = RetryBudget::default();
         let mut retries = 0;
-        for (number, late) in wanted.into_iter().enumerate() {
+        for (number, timed_out) in timed_out.into_iter().enumerate() {
             budget.deposit();
-            retries += usize::from(late && budget.withdraw());
+            retries += usize::from(timed_out && budget.withdraw());
             prop_assert!(retries as f64 <= 20.0 + (number + 1) as f64 * 0.1 + 1e-6);
         }
     }
 }
 
 #[test]
-fn a_few_late_answers_are_always_tried_again() {
+fn occasional_timeouts_are_always_retried() {
     let mut budget = RetryBudget::default();
     for number in 0..1_000 {
         budget.deposit();
--- a/crates/stageyoke-policy/tests/support/mod.rs
+++ b/crates/stageyoke-policy/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A tenant's programs as callers run them, against one decision on requests.
+//! Simulates the programs of tenants against a request limiter.
 
 use std::time::Duration;
 
@@ -7,43 +7,43 @@
 use rand_chacha::ChaCha8Rng;
 use stageyoke_policy::token_bucket::RateLimit;
 
-/// Decides on a request of a program at a moment; `Err` tells when to come back.
-pub trait Gate {
-    /// May it be made?
-    fn ask(&mut self, tenant: u64, program: u64, now: Duration) -> Result<(), Duration>;
+/// Limiter that grants or rejects each request of a program.
+pub trait RequestLimiter {
+    /// Grants a request, or returns the delay after which the caller may retry.
+    fn acquire(&mut self, tenant: u64, program: u64, now: Duration) -> Result<(), Duration>;
 }
 
-/// The load of one run: each tenant's limit is 1.6 times its usual requests.
+/// Load of one simulation. Each tenant's limit is 1.6 times its usual request rate.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
-    /// Tenants, one of which is watched.
+    /// Number of tenants; the first one is measured.
     pub tenants: u64,
-    /// Limit of each.
+    /// Rate limit of each tenant.
     pub limit: RateLimit,
-    /// Traffic of the watched tenant against its usual one.
-    pub factor: f64,
-    /// Traffic of the others against theirs.
-    pub others: f64,
-    /// Length, in milliseconds.
-    pub length: u64,
+    /// Load of the first tenant, as a multiple of its usual load.
+    pub load_factor: f64,
+    /// Load of each other tenant, as a multiple of its usual load.
+    pub other_load_factor: f64,
+    /// Length of the simulation.
+    pub length_milliseconds: u64,
 }
 
-/// What became of the watched tenant's programs.
+/// Numbers of programs and requests of one tenant.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Seen {
-    /// Programs that began early enough to end.
-    pub begun: usize,
-    /// Ended whole.
-    pub ended: usize,
-    /// Refused at their first request, for good.
-    pub turned_away: usize,
-    /// Refused later, for good.
-    pub cut: usize,
-    /// Requests that were granted.
+pub struct Outcome {
+    /// Programs started early enough to finish within the simulation.
+    pub started: usize,
+    /// Programs that finished all their requests.
+    pub finished: usize,
+    /// Programs that were given up after their first request was rejected.
+    pub rejected: usize,
+    /// Programs that were given up after a later request was rejected.
+    pub aborted: usize,
+    /// Requests granted.
     pub granted: usize,
-    /// Requests of programs that were cut.
+    /// Requests granted to programs that were aborted.
     pub wasted: usize,
-    /// Most grants within five seconds, beyond rate and burst.
+    /// Largest number of grants within five seconds, less the number that the limit allows.
     pub excess: i64,
 }
 
@@ -51,25 +51,27 @@
 struct Program {
     number: u64,
     tenant: u64,
-    began: u64,
-    /// Requests of each turn's calls, the turn itself first.
-    turns: Vec<u32>,
-    think: u64,
-    next: u64,
-    step: usize,
-    left_in_step: u32,
-    tries: u32,
-    resent: u32,
-    made: usize,
-    /// Its own, so that what is decided on others changes nothing for it.
+    started_at: u64,
+    /// Calls that follow each turn.
+    calls_per_turn: Vec<u32>,
+    think_milliseconds: u64,
+    next_request_at: u64,
+    current_turn: usize,
+    /// Calls left in the current turn; zero while the turn itself is requested.
+    calls_left: u32,
+    retries: u32,
+    resends: u32,
+    granted: usize,
+    /// Separate generator, so that decisions on other programs don't change this one.
     random: ChaCha8Rng,
 }
 
-const USUAL_PART: f64 = 1.0 / 1.6;
-/// Mean requests of a program of the mix below.
-const REQUESTS: f64 = 17.0;
+/// Usual request rate as a fraction of the limit.
+const USUAL_UTILIZATION: f64 = 1.0 / 1.6;
+/// Mean number of requests of the programs that `new_program` creates.
+const MEAN_REQUESTS: f64 = 17.0;
 
-fn program(number: u64, tenant: u64, at: u64, seed: u64) -> Program {
+fn new_program(number: u64, tenant: u64, now: u64, seed: u64) -> Program {
     let mut random = ChaCha8Rng::seed_from_u64(seed << 32 | number);
     let long = random.random_bool(0.34);
     let turns = match long {
@@ -80,80 +82,81 @@
         let reads = if random.random_bool(0.7) { 2 } else { 0 };
         reads + u32::from(random.random_bool(0.4)) + u32::from(random.random_bool(0.2))
     };
-    let turns = (0..turns).map(|_| calls(&mut random)).collect();
+    let calls_per_turn = (0..turns).map(|_| calls(&mut random)).collect();
     Program {
         number,
         tenant,
-        began: at,
-        turns,
-        think: if long { 20 } else { 150 },
-        next: at,
-        step: 0,
-        left_in_step: 0,
-        tries: 0,
-        resent: 0,
-        made: 0,
+        started_at: now,
+        calls_per_turn,
+        think_milliseconds: if long { 20 } else { 150 },
+        next_request_at: now,
+        current_turn: 0,
+        calls_left: 0,
+        retries: 0,
+        resends: 0,
+        granted: 0,
         random,
     }
 }
 
-/// Plays a load against a gate; what became of the watched tenant.
-pub fn play(load: Load, gate: &mut impl Gate, seed: u64) -> Seen {
-    play_all(load, gate, seed).remove(0)
+/// Simulates a load; returns the outcome of the first tenant.
+pub fn simulate(load: Load, limiter: &mut impl RequestLimiter, seed: u64) -> Outcome {
+    simulate_all(load, limiter, seed).remove(0)
 }
 
-/// Plays a load against a gate; what became of each tenant, the watched one first.
-pub fn play_all(load: Load, gate: &mut impl Gate, seed: u64) -> Vec<Seen> {
+/// Simulates a load; returns the outcome of each tenant.
+pub fn simulate_all(load: Load, limiter: &mut impl RequestLimiter, seed: u64) -> Vec<Outcome> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut running: Vec<Program> = Vec::new();
     let mut grants: Vec<Vec<u64>> = vec![Vec::new(); load.tenants as usize];
-    let mut all = vec![Seen::default(); load.tenants as usize];
+    let mut all = vec![Outcome::default(); load.tenants as usize];
     let mut number = 0;
-    for time in 0..load.length {
+    for time in 0..load.length_milliseconds {
         for tenant in 0..load.tenants {
             let factor = if tenant == 0 {
-                load.factor
+                load.load_factor
             } else {
-                load.others
+                load.other_load_factor
             };
-            let expected = load.limit.per_second * USUAL_PART * factor / REQUESTS / 1_000.0;
+            let expected =
+                load.limit.per_second * USUAL_UTILIZATION * factor / MEAN_REQUESTS / 1_000.0;
             if random.random_bool(expected) {
                 number += 1;
-                running.push(program(number, tenant, time, seed));
+                running.push(new_program(number, tenant, time, seed));
             }
         }
         let now = Duration::from_millis(time);
         running.retain_mut(|program| {
-            if program.next > time {
+            if program.next_request_at > time {
                 return true;
             }
             let tenant = program.tenant as usize;
-            let seen = &mut all[tenant];
-            let counted = program.began + 12_000 < load.length;
-            if program.made == 0 && program.tries == 0 && program.resent == 0 {
-                seen.begun += usize::from(counted);
+            let outcome = &mut all[tenant];
+            let counted = program.started_at + 12_000 < load.length_milliseconds;
+            if program.granted == 0 && program.retries == 0 && program.resends == 0 {
+                outcome.started += usize::from(counted);
             }
-            match gate.ask(program.tenant, program.number, now) {
+            match limiter.acquire(program.tenant, program.number, now) {
                 Ok(()) => {
-                    program.made += 1;
-                    program.tries = 0;
-                    program.resent = 0;
+                    program.granted += 1;
+                    program.retries = 0;
+                    program.resends = 0;
                     grants[tenant].push(time);
-                    seen.granted += 1;
-                    if go_on(program, time) {
+                    outcome.granted += 1;
+                    if schedule_next_request(program, time) {
                         return true;
                     }
-                    seen.ended += usize::from(counted);
+                    outcome.finished += usize::from(counted);
                     false
                 }
-                Err(after) => {
-                    if come_back(program, time, after) {
+                Err(retry_after) => {
+                    if schedule_retry(program, time, retry_after) {
                         return true;
                     }
                     if counted {
-                        seen.turned_away += usize::from(program.made == 0);
-                        seen.cut += usize::from(program.made > 0);
-                        seen.wasted += program.made;
+                        outcome.rejected += usize::from(program.granted == 0);
+                        outcome.aborted += usize::from(program.granted > 0);
+                        outcome.wasted += program.granted;
                     }
                     false
                 }
@@ -161,49 +164,50 @@
         });
     }
     let allowed = load.limit.per_second * 5.0 + load.limit.burst;
-    for (seen, grants) in all.iter_mut().zip(&grants) {
-        let until = |at: u64| grants.partition_point(|other| *other < at);
-        let in_window = |at: &u64| until(at + 5_000) - until(*at);
-        let most = grants.iter().map(in_window).max();
-        seen.excess = most.unwrap_or_default() as i64 - allowed as i64;
+    for (outcome, grants) in all.iter_mut().zip(&grants) {
+        let grants_before = |time: u64| grants.partition_point(|granted_at| *granted_at < time);
+        let in_window = |start: &u64| grants_before(start + 5_000) - grants_before(*start);
+        let max_grants = grants.iter().map(in_window).max();
+        outcome.excess = max_grants.unwrap_or_default() as i64 - allowed as i64;
     }
     all
 }
 
-/// The next request of a program; false once it has made its last.
-fn go_on(program: &mut Program, time: u64) -> bool {
+/// Schedules the next request of a program; returns false if it has finished.
+fn schedule_next_request(program: &mut Program, now: u64) -> bool {
     let random = &mut program.random;
-    if program.left_in_step > 1 {
-        program.left_in_step -= 1;
-        program.next = time + random.random_range(1..30);
+    if program.calls_left > 1 {
+        program.calls_left -= 1;
+        program.next_request_at = now + random.random_range(1..30);
         return true;
     }
-    let calls_follow = program.left_in_step == 0 && program.turns[program.step] > 0;
+    let calls_follow = program.calls_left == 0 && program.calls_per_turn[program.current_turn] > 0;
     if calls_follow {
-        program.left_in_step = program.turns[program.step];
-        program.next = time + random.random_range(150..300);
+        program.calls_left = program.calls_per_turn[program.current_turn];
+        program.next_request_at = now + random.random_range(150..300);
         return true;
     }
-    program.left_in_step = 0;
-    program.step += 1;
-    program.next = time + random.random_range(150..300) + program.think;
-    program.step < program.turns.len()
+    program.calls_left = 0;
+    program.current_turn += 1;
+    program.next_request_at = now + random.random_range(150..300) + program.think_milliseconds;
+    program.current_turn < program.calls_per_turn.len()
 }
 
-/// A refused request comes back once after the time it was told; a turn is sent
-/// anew twice more, a call is not.
-fn come_back(program: &mut Program, time: u64, after: Duration) -> bool {
+/// Schedules the retry of a rejected request; returns false if the caller gives up. Each
+/// request is retried once after `retry_after`. A turn, unlike a call, is then resent up to
+/// twice, with one retry each time.
+fn schedule_retry(program: &mut Program, now: u64, retry_after: Duration) -> bool {
     let random = &mut program.random;
-    if program.tries == 0 {
-        program.tries = 1;
-        program.next = time + after.as_millis().max(1) as u64;
+    if program.retries == 0 {
+        program.retries = 1;
+        program.next_request_at = now + retry_after.as_millis().max(1) as u64;
         return true;
     }
-    let is_turn = program.left_in_step == 0;
-    if is_turn && program.resent < 2 {
-        program.resent += 1;
-        program.tries = 0;
-        program.next = time + random.random_range(100..400);
+    let is_turn = program.calls_left == 0;
+    if is_turn && program.resends < 2 {
+        program.resends += 1;
+        program.retries = 0;
+        program.next_request_at = now + random.random_range(100..400);
         return true;
     }
     false
--- a/crates/stageyoke-store/tests/owners_test.rs
+++ b/crates/stageyoke-store/tests/owners_test.rs
@@ -255,7 +255,7 @@
             store.fresh.set(true);
         }
         assert_eq!(world.granted(5).await, 1, "nine tenths count as granted");
-        let refused = |owner: usize| world.owners[owner].ledger.borrow().tenants();
+        let refused = |owner: usize| world.owners[owner].ledger.borrow().tenant_count();
         assert_eq!(refused(0), 1);
         assert_eq!(refused(2), 0, "nobody stands in");
     };
