--- a/crates/stageyoke-policy/src/admission.rs
+++ b/crates/stageyoke-policy/src/admission.rs
@@ -2,21 +2,21 @@
 //!
 //! If every program started during an overload, turns would wait in the engines' queues
 //! until their callers time out, and the retries would prolong the overload. So programs
-//! that have started continue, and a new one is admitted only if engines have free slots
-//! for it. Engines serve urgent turns first, so only turns that are at least as urgent as
+//! that have started continue, and a new one is admitted only if engines have capacity for
+//! it. Engines serve urgent turns first, so only turns that are at least as urgent as
 //! the new program count against it. All fronts use the same load counts and the same order
 //! of programs, so that a program which one front rejects isn't admitted by another front
 //! ahead of earlier ones.
 
 use std::time::Duration;
 
-/// Utilization range above full load, as a fraction of the slots, over which the admitted
-/// share falls from one to zero. In a narrower range, fronts with delayed load counts would
-/// alternate between admitting all programs and none.
+/// Range of utilization above 1 over which the admitted share falls from 1 to 0. In a
+/// narrower range, fronts with delayed load counts would alternate between admitting all
+/// programs and none.
 const SHEDDING_RANGE: f64 = 0.25;
 
-/// Retry delay for the first program in the order; longer than a usual turn, after which a
-/// slot may be free.
+/// Retry delay for the first program in the order; a usual turn ends within it and frees a
+/// slot.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Additional retry delay for the last program in the order, which spreads the retries.
 const RETRY_DELAY_SPREAD: Duration = Duration::from_millis(600);
--- a/crates/stageyoke-policy/src/quota/account.rs
+++ b/crates/stageyoke-policy/src/quota/account.rs
@@ -8,8 +8,8 @@
 use crate::sliding_window::SlidingWindow;
 use crate::token_bucket::RateLimit;
 
-/// A program without a granted request for this long counts as finished. Longer than most
-/// turns and pauses, but short, since new programs are limited by those not yet finished.
+/// A program without a granted request for this long counts as finished. Few turns and pauses
+/// take longer. A longer timeout would reserve quota for programs that have finished.
 const PROGRAM_IDLE_TIMEOUT: Duration = Duration::from_millis(600);
 /// A program that resumes within this time is not treated as a new one.
 const PROGRAM_RETENTION: Duration = Duration::from_secs(8);
@@ -27,7 +27,7 @@
     granted_requests: u32,
     /// Whether the last request was rejected.
     rejected: bool,
-    /// Whether a request was granted within the idle timeout, as of the last sweep.
+    /// Whether a request was granted within the idle timeout, as of the last grant or sweep.
     active: bool,
 }
 
--- a/crates/stageyoke-policy/src/sliding_window.rs
+++ b/crates/stageyoke-policy/src/sliding_window.rs
@@ -89,8 +89,8 @@
         self.current_slot
     }
 
-    /// Uncounts one request that was recorded in `slot`. Has no effect once the slot has
-    /// left the window.
+    /// Removes one request that was recorded in `slot` from the count. Has no effect once the
+    /// slot has left the window.
     pub fn refund(&mut self, slot: u64, now: Duration) {
         self.advance(now);
         let in_window = slot <= self.current_slot && self.current_slot - slot < RING_SIZE as u64;
--- a/crates/stageyoke-policy/tests/quota_test.rs
+++ b/crates/stageyoke-policy/tests/quota_test.rs
@@ -156,7 +156,7 @@
 
     /// Compares the counts with an exact list of the requests, up to one slot of the window.
     #[test]
-    fn a_sliding_window_counts_exactly_the_requests_within_its_length(
+    fn a_sliding_window_counts_the_requests_within_its_length(
         gaps in proptest::collection::vec(0_u64..400, 1..200),
         delay in 0_u64..5_000,
     ) {
