--- a/crates/stageyoke-directory/src/freshness.rs
+++ b/crates/stageyoke-directory/src/freshness.rs
@@ -1,7 +1,7 @@
-//! How old the directory is. A process may act on it only while it is young:
-//! a pending watch proves nothing, since a peer that neither answers nor closes
-//! looks like one that has nothing to tell. Only answers prove it, those of the
-//! service itself or of another process that has heard from it since.
+//! Tracks the age of the directory. A process may act on the directory only while it is
+//! fresh. A pending watch proves nothing, since a silent peer looks like one without
+//! changes; only answers do, from the service itself or from a process that had one
+//! since.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -12,46 +12,46 @@
 
 use crate::outage::{OutageDetector, OutageThresholds, ServiceOutage};
 
-/// Part of the bound on changes after which an answer is asked for.
+/// Fraction of the change bound after which the directory is refreshed.
 const REFRESH_FRACTION: f64 = 0.6;
-/// The same for the processes that ask first, so that the others hear of it
-/// from them in time: the answers that bring a change reach all at one moment.
+/// Fraction of the change bound after which processes that refresh early do so, which
+/// lets peers learn the result from them in time: an answer that brings a change
+/// reaches all peers at the same moment.
 const EARLY_REFRESH_FRACTION: f64 = 0.4;
-/// Part of the bound that one such answer may take; with the part above it
-/// leaves a tenth of the bound for a request's way to its replica.
+/// Fraction of the change bound that one answer may take. With `REFRESH_FRACTION` it
+/// leaves a tenth of the bound for a request's transfer to its replica.
 const ANSWER_TIMEOUT_FRACTION: f64 = 0.3;
-/// Part of the time for an answer that one takes at most in calm.
+/// Fraction of the answer timeout that an answer takes at most in normal operation.
 const NORMAL_ANSWER_FRACTION: f64 = 0.33;
-/// Part of the bound beyond which a request waits for a younger directory.
+/// Fraction of the change bound beyond which a request waits for a refresh.
 const MAX_USABLE_AGE_FRACTION: f64 = 0.8;
-/// Part of the bound that lies at most between two tries to reach the service.
+/// Fraction of the change bound between two attempts to reach the service, at most.
 const MAX_BACKOFF_FRACTION: f64 = 0.25;
-/// Bounds on changes without a request after which a directory that only
-/// requests act on is left to age.
+/// Idle timeout, in change bounds, of a directory that is used only by requests.
 const IDLE_TIMEOUT_BOUNDS: u32 = 2;
-/// Bound on changes where the settings name none: the shortest of the
-/// deployments.
+/// Change bound where the settings name none: the shortest among the deployments.
 const DEFAULT_CHANGE_BOUND: Duration = Duration::from_millis(2000);
 
-/// How old the directory may get.
+/// Age limits and timeouts for refreshing the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AgeLimits {
-    /// Age at which an answer of the service is asked for.
+    /// Age at which a refresh is started.
     pub refresh_after: Duration,
-    /// The same for a process that asks first, on behalf of others.
+    /// Age at which a process starts a refresh if it refreshes early on behalf of
+    /// peers.
     pub early_refresh_after: Duration,
-    /// Time for that answer; then the service counts as unreachable.
+    /// Timeout of a refresh; after it the service counts as unreachable.
     pub answer_timeout: Duration,
-    /// Age beyond which a request waits for that answer.
+    /// Age beyond which a request waits for a refresh.
     pub max_usable_age: Duration,
-    /// Longest pause between two tries while the service is unreachable.
+    /// Longest delay between two attempts while the service is unreachable.
     pub max_backoff: Duration,
-    /// Time without use after which nothing is asked for.
+    /// Time without use after which the directory is no longer refreshed.
     pub idle_timeout: Duration,
 }
 
 impl AgeLimits {
-    /// The limits where a change must be in force within `bound`.
+    /// Returns the limits for changes that must be in force within `bound`.
     pub fn for_change_bound(bound: Duration) -> Self {
         Self {
             refresh_after: bound.mul_f64(REFRESH_FRACTION),
@@ -65,10 +65,10 @@
 }
 
 impl AgeLimits {
-    /// Finds absences of the service, where entries are renewed with this pause.
-    fn outage_detector(&self, heartbeat: Duration) -> OutageDetector {
+    /// Creates the outage detector for entries that are renewed at this interval.
+    fn outage_detector(&self, heartbeat_interval: Duration) -> OutageDetector {
         OutageDetector::new(OutageThresholds {
-            heartbeat_interval: heartbeat,
+            heartbeat_interval,
             max_answer_interval: self.refresh_after
                 + self.answer_timeout.mul_f64(NORMAL_ANSWER_FRACTION),
             min_usable_time: self.max_usable_age
@@ -83,17 +83,18 @@
     }
 }
 
-/// What one process tells another of its directory.
+/// Version and age of a directory, as sent to peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct DirectoryMark {
-    /// Revision of the newest change that the directory holds; zero while it
-    /// holds none. The service's own counter also rises without such a change.
+    /// Revision of the newest change in the directory; zero while it holds none. The
+    /// service's own counter also rises without such a change.
     pub last_change: u64,
-    /// How long ago that was the newest change, in milliseconds.
+    /// Time since `last_change` was last known to be the newest change, in
+    /// milliseconds.
     pub age_milliseconds: u32,
 }
 
-/// Revision and age of one process's directory.
+/// Revision and age of this process's directory.
 #[derive(Debug)]
 pub struct Freshness {
     limits: AgeLimits,
@@ -112,12 +113,12 @@
 }
 
 impl Freshness {
-    /// Nothing is known yet. Where only requests act on the directory it may
-    /// age while there are none.
-    pub fn new(limits: AgeLimits, only_by_requests: bool) -> Self {
+    /// Creates the state of a directory without any answer. A directory that is used
+    /// only by requests is not refreshed while there are none.
+    pub fn new(limits: AgeLimits, used_only_by_requests: bool) -> Self {
         Self {
             limits,
-            used_only_by_requests: only_by_requests,
+            used_only_by_requests,
             refreshes_early: Cell::new(false),
             revision: Cell::new(0),
             last_change: Cell::new(0),
@@ -132,139 +133,147 @@
         }
     }
 
-    /// The limits in force.
+    /// Returns the limits in force.
     pub fn limits(&self) -> AgeLimits {
         self.limits
     }
 
-    /// Whether this process asks before others get old, which hear from it.
-    pub fn set_early_refresh(&self, asks_first: bool) {
-        self.refreshes_early.set(asks_first);
+    /// Sets whether this process refreshes early, so that its peers need not.
+    pub fn set_early_refresh(&self, enabled: bool) {
+        self.refreshes_early.set(enabled);
     }
 
-    /// When the directory was last known to hold every change; `None` before the
-    /// first answer.
+    /// Returns when the directory was last known to hold every change; `None` before
+    /// the first answer.
     pub fn confirmed_at(&self) -> Option<Instant> {
         self.confirmed_at.get()
     }
 
-    /// Time since the directory was known to hold every change; `None` before
-    /// the first answer.
+    /// Returns the time since the directory was last known to hold every change; `None`
+    /// before the first answer.
     pub fn age(&self) -> Option<Duration> {
         self.confirmed_at.get().map(|at| at.elapsed())
     }
 
-    /// The service answered: at the moment `as_of` the directory held every
-    /// change up to `revision`, the newest of them at `last_change` (`None`:
-    /// none since the answer before).
+    /// Records an answer from the service: at the moment `as_of` the directory held every
+    /// change up to `revision`. `last_change` is the revision of the newest of them,
+    /// `None` if there was none since the previous answer.
     pub fn confirm(&self, revision: u64, last_change: Option<u64>, as_of: Instant) {
         self.revision.set(revision);
         if let Some(last_change) = last_change {
             self.last_change.set(last_change);
         }
-        self.advance(as_of);
+        self.advance_confirmed_at(as_of);
         self.unreachable.set(false);
         self.refresh_finished.notify_waiters();
     }
 
-    /// The service gave no usable answer in time to what was asked at `asked`.
-    pub fn record_failure(&self, asked: Instant) {
-        self.update_outages(|absence| absence.record_failure(asked));
+    /// Records that a request to the service, sent at `sent_at`, got no usable answer in
+    /// time.
+    pub fn record_failure(&self, sent_at: Instant) {
+        self.update_outages(|detector| detector.record_failure(sent_at));
         self.unreachable.set(true);
         self.refresh_finished.notify_waiters();
     }
 
-    /// Entries are renewed by heartbeats with this pause.
-    pub fn set_heartbeat_interval(&self, heartbeat: Duration) {
-        self.outages.set(self.limits.outage_detector(heartbeat));
+    /// Sets the interval at which entries are renewed; discards outages seen so far.
+    pub fn set_heartbeat_interval(&self, heartbeat_interval: Duration) {
+        self.outages
+            .set(self.limits.outage_detector(heartbeat_interval));
     }
 
-    fn update_outages(&self, note: impl FnOnce(&mut OutageDetector)) {
-        let mut absence = self.outages.get();
-        note(&mut absence);
-        self.outages.set(absence);
+    fn update_outages(&self, update: impl FnOnce(&mut OutageDetector)) {
+        let mut detector = self.outages.get();
+        update(&mut detector);
+        self.outages.set(detector);
     }
 
-    /// Until when entries that are missing may come back, since the service was away;
-    /// `None` where they have ended. The service has just answered as of that moment.
+    /// Returns the deadline by which missing entries may be back after an outage;
+    /// `None` if they have ended. The caller has just had an answer from the service as
+    /// of `as_of`.
     pub fn lapsed_entry_deadline(&self, as_of: Instant) -> Option<Instant> {
-        let (absence, until) = self.outage_and_deadline(as_of)?;
-        (absence.corroborated && until > Instant::now()).then_some(until)
+        let (outage, deadline) = self.outage_and_deadline(as_of)?;
+        (outage.corroborated && deadline > Instant::now()).then_some(deadline)
     }
 
-    /// The same where another process has told until when it takes them to come back:
-    /// not beyond what this one knows, had it an answer meanwhile or had it none.
-    pub fn relayed_lapsed_entry_deadline(&self, as_of: Instant, told: Instant) -> Option<Instant> {
-        let (_, until) = self.outage_and_deadline(as_of)?;
-        let until = until.min(told);
-        (until > Instant::now()).then_some(until)
+    /// Limits a lapsed-entry deadline that a peer relayed to what this process knows
+    /// itself, whether or not it had an answer during the outage; `None` if the entries
+    /// have ended.
+    pub fn relayed_lapsed_entry_deadline(
+        &self,
+        as_of: Instant,
+        relayed: Instant,
+    ) -> Option<Instant> {
+        let (_, deadline) = self.outage_and_deadline(as_of)?;
+        let deadline = deadline.min(relayed);
+        (deadline > Instant::now()).then_some(deadline)
     }
 
     fn outage_and_deadline(&self, as_of: Instant) -> Option<(ServiceOutage, Instant)> {
-        self.update_outages(|absence| absence.record_answer(as_of));
-        let watch = self.outages.get();
-        let absence = watch.last_outage()?;
-        Some((absence, watch.thresholds().lapsed_entry_deadline(&absence)))
+        self.update_outages(|detector| detector.record_answer(as_of));
+        let detector = self.outages.get();
+        let outage = detector.last_outage()?;
+        Some((outage, detector.thresholds().lapsed_entry_deadline(&outage)))
     }
 
-    /// Another process was heard, which last had an answer of the service then.
+    /// Records contact with a peer whose last answer from the service was at
+    /// `answered_at`.
     pub fn apply_peer_contact(&self, answered_at: Instant) {
-        self.update_outages(|absence| absence.record_peer_answer(answered_at, Instant::now()));
+        self.update_outages(|detector| detector.record_peer_answer(answered_at, Instant::now()));
     }
 
-    /// Other processes answer again after none did: if this one got no answer of
-    /// the service meanwhile, they may have.
+    /// Wakes `wait_for_peers` when peers answer again after none did: they may have a
+    /// newer copy than this process, if it cannot reach the service.
     pub fn report_peers_reachable(&self) {
         if self.unreachable.get() {
             self.peers_reachable.notify_one();
         }
     }
 
-    /// Returns once other processes answer again while the service does not.
+    /// Waits until peers answer again while the service is unreachable.
     pub async fn wait_for_peers(&self) {
         self.peers_reachable.notified().await;
     }
 
-    /// Whether the last try to get an answer failed.
+    /// Returns whether the last request to the service failed.
     pub fn is_service_unreachable(&self) -> bool {
         self.unreachable.get()
     }
 
-    /// Another process told of its directory, in answer to a message that was
-    /// sent at `sent`. One that has seen no later change than this one, and
-    /// heard from the service since, shows that there is none.
-    pub fn apply_peer_mark(&self, mark: DirectoryMark, sent: Instant) {
+    /// Applies the mark of a peer, received in answer to a message sent at `sent_at`. If
+    /// the peer has seen no later change than this process, and had an answer from the
+    /// service since, the directory is confirmed as of that answer.
+    pub fn apply_peer_mark(&self, mark: DirectoryMark, sent_at: Instant) {
         let age = Duration::from_millis(u64::from(mark.age_milliseconds));
         if mark.last_change > 0
-            && let Some(answered_at) = sent.checked_sub(age)
+            && let Some(answered_at) = sent_at.checked_sub(age)
         {
             self.apply_peer_contact(answered_at);
         }
-        let known = self.confirmed_at.get().is_some();
-        if known && mark.last_change > self.revision.get() {
+        let has_answer = self.confirmed_at.get().is_some();
+        if has_answer && mark.last_change > self.revision.get() {
             self.lagging.notify_one();
         }
-        if known
+        if has_answer
             && mark.last_change > 0
             && mark.last_change <= self.revision.get()
-            && let Some(as_of) = sent.checked_sub(age)
+            && let Some(as_of) = sent_at.checked_sub(age)
         {
-            self.advance(as_of);
+            self.advance_confirmed_at(as_of);
         }
     }
 
-    /// Returns once another process has told of a change that this directory
-    /// does not hold.
+    /// Waits until a peer has reported a change that this directory does not hold.
     pub async fn wait_until_lagging(&self) {
         self.lagging.notified().await;
     }
 
-    /// Revision up to which the directory holds every change.
+    /// Returns the revision up to which the directory holds every change.
     pub fn revision(&self) -> u64 {
         self.revision.get()
     }
 
-    /// What to tell other processes.
+    /// Returns the mark to send to peers.
     pub fn mark(&self) -> DirectoryMark {
         let Some(age) = self.age() else {
             return DirectoryMark::default();
@@ -275,63 +284,65 @@
         }
     }
 
-    fn advance(&self, as_of: Instant) {
-        let before = self.confirmed_at.get();
-        self.confirmed_at.set(before.max(Some(as_of)));
-        self.update_outages(|absence| absence.record_answer(as_of));
+    fn advance_confirmed_at(&self, as_of: Instant) {
+        let previous = self.confirmed_at.get();
+        self.confirmed_at.set(previous.max(Some(as_of)));
+        self.update_outages(|detector| detector.record_answer(as_of));
     }
 
-    /// A request is about to act on the directory. Waits for a younger one if
-    /// it is too old, at most as long as an answer may take; not while the
-    /// service is known to be unreachable, nor before it was first heard.
+    /// Waits until the directory is fresh enough for a request to act on, for
+    /// `answer_timeout` at most. Does not wait while the service is known to be
+    /// unreachable or before its first answer.
     pub async fn ensure_fresh(&self) {
-        let idle = self.is_idle();
+        let was_idle = self.is_idle();
         self.last_used_at.set(Some(Instant::now()));
-        if idle {
+        if was_idle {
             self.use_resumed.notify_one();
         }
-        let wait = async {
+        let fresh = async {
             loop {
-                let settled = self.refresh_finished.notified();
+                let finished = self.refresh_finished.notified();
                 if !self.is_too_stale() {
                     return;
                 }
-                settled.await;
+                finished.await;
             }
         };
-        // What is known is used when the time is over: `fail` says why.
-        let _ = tokio::time::timeout(self.limits.answer_timeout, wait).await;
+        // After the timeout the request uses the stale copy; `record_failure` reports
+        // why.
+        let _ = tokio::time::timeout(self.limits.answer_timeout, fresh).await;
     }
 
     fn is_too_stale(&self) -> bool {
-        let old = self
+        let stale = self
             .age()
             .is_some_and(|age| age > self.limits.max_usable_age);
-        old && !self.unreachable.get()
+        stale && !self.unreachable.get()
     }
 
-    /// Whether nobody acts on the directory, so that it may age.
+    /// Returns whether the directory is unused, so that it need not be refreshed.
     pub fn is_idle(&self) -> bool {
-        let used = self.last_used_at.get();
+        let last_used_at = self.last_used_at.get();
         self.used_only_by_requests
-            && used.is_none_or(|used| used.elapsed() > self.limits.idle_timeout)
+            && last_used_at
+                .is_none_or(|last_used_at| last_used_at.elapsed() > self.limits.idle_timeout)
     }
 
-    /// Returns once the directory is in use and old enough to ask for an answer.
+    /// Waits until the directory is in use and due for a refresh.
     pub async fn wait_until_overdue(&self) {
         loop {
             if self.is_idle() {
                 self.use_resumed.notified().await;
                 continue;
             }
-            let renew_after = match self.refreshes_early.get() {
+            let refresh_after = match self.refreshes_early.get() {
                 true => self.limits.early_refresh_after,
                 false => self.limits.refresh_after,
             };
             let Some(confirmed_at) = self.confirmed_at.get() else {
                 return;
             };
-            let due = confirmed_at + renew_after;
+            let due = confirmed_at + refresh_after;
             if due <= Instant::now() {
                 return;
             }
--- a/crates/stageyoke-directory/src/key_value.rs
+++ b/crates/stageyoke-directory/src/key_value.rs
@@ -1,5 +1,5 @@
-//! The key-value service as the product sees it: linearizable reads, watches
-//! from a revision, and transactions under conditions.
+//! Interface to the key-value service: linearizable reads, watches from a revision, and
+//! conditional transactions.
 
 use std::fmt;
 use std::future::Future;
@@ -7,21 +7,21 @@
 
 use bytes::Bytes;
 
-/// One key with its value.
+/// A key with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Item {
-    /// The key.
+    /// The item's key.
     pub key: String,
-    /// Its value.
+    /// The item's value.
     pub value: Bytes,
-    /// Revision of its last change.
+    /// Revision of the last change to the key.
     pub revision: u64,
 }
 
 /// One page of a range read.
 #[derive(Clone, Debug, Default)]
 pub struct RangePage {
-    /// Items in key order.
+    /// Items of the page, in key order.
     pub items: Vec<Item>,
     /// Whether further pages follow after the last key.
     pub more: bool,
@@ -34,9 +34,9 @@
 pub enum Change {
     /// The key was written.
     Written(Item),
-    /// The key was removed at this revision.
+    /// The key was removed.
     Removed {
-        /// The key.
+        /// The removed key.
         key: String,
         /// Revision of the removal.
         revision: u64,
@@ -44,7 +44,7 @@
 }
 
 impl Change {
-    /// Revision at which the key was written or removed.
+    /// Returns the revision at which the key was written or removed.
     pub fn revision(&self) -> u64 {
         match self {
             Self::Written(item) => item.revision,
@@ -53,65 +53,64 @@
     }
 }
 
-/// What a watch answered.
+/// Result of a watch.
 #[derive(Clone, Debug)]
 pub enum WatchOutcome {
-    /// Changes, possibly none, up to the revision.
+    /// Changes, possibly none, up to a revision.
     Changes {
-        /// In the order of their revisions.
+        /// Changes in the order of their revisions.
         changes: Vec<Change>,
-        /// Continue after this revision.
+        /// Revision after which the next watch starts.
         revision: u64,
     },
-    /// The service has forgotten the history; everything must be read again.
+    /// The service no longer has the history; everything must be read again.
     HistoryCompacted,
 }
 
-/// A condition of a transaction: the key's last change has this revision; zero
-/// means that the key is absent.
+/// A condition of a transaction: the key's last change has the given revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Condition {
-    /// The key.
+    /// Key that is compared.
     pub key: String,
-    /// Its expected revision.
+    /// Expected revision of the key; zero if the key must not exist.
     pub revision: u64,
 }
 
 /// A write of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
-    /// The key.
+    /// Key that is written.
     pub key: String,
     /// Its new value.
     pub value: Bytes,
 }
 
-/// All or nothing.
+/// Writes that are applied together if all conditions hold.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Transaction {
-    /// Must all hold.
+    /// Conditions that must all hold.
     pub conditions: Vec<Condition>,
-    /// Then all are written.
+    /// Writes applied if the conditions hold.
     pub writes: Vec<Write>,
 }
 
-/// What a transaction answered.
+/// Result of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TransactionOutcome {
-    /// Done at this revision.
+    /// The writes were applied at this revision.
     Done(u64),
-    /// A condition did not hold; nothing was done.
+    /// A condition did not hold; nothing was written.
     Conflict,
 }
 
-/// Why a call failed.
+/// Reasons for a failed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyValueError {
-    /// Too many calls; nothing was done.
+    /// The service rejected the call because of too many calls; nothing was written.
     Throttled,
-    /// The service refused; nothing was done.
+    /// The service refused the call; nothing was written.
     Refused,
-    /// No usable answer: the call may have been done, or may yet be.
+    /// No usable answer: the call may have been executed, or may still be.
     NoAnswer,
 }
 
@@ -127,24 +126,24 @@
 
 impl std::error::Error for KeyValueError {}
 
-/// The calls that the product makes; an adapter spells them.
+/// Calls to the key-value service; an adapter implements them for a platform.
 pub trait KeyValueService {
     /// Reads one key, linearizably.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Item>, KeyValueError>>;
-    /// Reads a page of all keys that begin with the prefix.
+    /// Reads a page of the keys that start with `prefix`, after the key `after`.
     fn range(
         &self,
         prefix: &str,
         after: Option<&str>,
     ) -> impl Future<Output = Result<RangePage, KeyValueError>>;
-    /// Waits for changes after a revision.
+    /// Waits up to `wait` for changes after the revision `after`.
     fn watch(
         &self,
         prefix: &str,
         after: u64,
         wait: Duration,
     ) -> impl Future<Output = Result<WatchOutcome, KeyValueError>>;
-    /// Writes under conditions.
+    /// Executes a conditional transaction.
     fn transact(
         &self,
         transaction: &Transaction,
--- a/crates/stageyoke-directory/src/lib.rs
+++ b/crates/stageyoke-directory/src/lib.rs
@@ -1,6 +1,6 @@
-//! What a process knows of its deployment: the routes in force, the replicas of
-//! every service, and the store groups. All of it is followed
-//! from a key-value service, whose names and formats an adapter supplies.
+//! A process's view of its deployment: the routes in force, the replicas of every
+//! service, and the store groups. The view follows a key-value service; an adapter
+//! supplies the key names and value formats.
 
 pub mod freshness;
 pub mod groups;
--- a/crates/stageyoke-directory/src/members.rs
+++ b/crates/stageyoke-directory/src/members.rs
@@ -1,8 +1,8 @@
-//! The list of one store group's members, and its quorums.
+//! Member list of a store group, and its quorums.
 //!
-//! A change of the list is a joint one: the value holds the members from now on
-//! beside those before, and what is kept or known to be absent needs a quorum of
-//! both, until the change is settled. So any members may be replaced by any
+//! A change of the list goes through a joint configuration, which holds the new members
+//! beside the previous ones. Until the change is settled, storing a record or declaring
+//! it absent needs a quorum of both lists. Any members can therefore be replaced by any
 //! others in one change: quorums of the two lists need not intersect.
 
 use std::collections::BTreeMap;
@@ -10,66 +10,68 @@
 use nanoserde::{DeBin, SerBin};
 use stageyoke_types::{List, Text};
 
-/// Whether a store that has registered takes part in the groups.
+/// Whether a registered store takes part in the groups.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum MemberState {
-    /// It does.
+    /// The store takes part.
     Active,
-    /// It leaves before the groups are formed.
+    /// The store leaves before the groups are formed.
     Leaving,
 }
 
-/// One store.
+/// A store, as a member of a group.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct Member {
-    /// Machine name.
+    /// Name of the machine.
     pub node: Text,
-    /// `IP:PORT` of its inner listener.
+    /// `IP:PORT` of the store's internal listener.
     pub address: Text,
-    /// Zone that it is in.
+    /// Zone of the machine.
     pub zone: Text,
-    /// Whether it takes part.
+    /// Whether the store takes part in the groups.
     pub state: MemberState,
-    /// Identity of its disk: an answer of a disk that was lost since counts for nothing.
+    /// Identity of the store's disk; answers from a disk that has since been lost are
+    /// ignored.
     pub disk: u64,
 }
 
-/// The list, as one value.
+/// Member list of a group, written as one value.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct Members {
-    /// Rises by one with each change.
+    /// Incremented with each change.
     pub version: u64,
-    /// All members, in the order of their joining.
+    /// All members, in the order in which they joined.
     pub list: List<Member>,
-    /// The members before, while the change to `list` is not settled; else none.
+    /// Previous members while a change is pending; otherwise empty.
     pub before: List<Member>,
 }
 
 impl Members {
-    /// The member on this machine, also one that the change under way removes.
+    /// Returns the member on machine `node`, including one that a pending change
+    /// removes.
     pub fn get(&self, node: &str) -> Option<&Member> {
         self.all().find(|member| member.node.as_str() == node)
     }
 
-    /// Whether the machine stays a member once the list is settled.
+    /// Returns whether machine `node` is in the new member list.
     pub fn remains_member(&self, node: &str) -> bool {
         contains(&self.list, node)
     }
 
-    /// All members, also those that the change under way removes.
+    /// Iterates over all members, including those that a pending change removes.
     pub fn all(&self) -> impl Iterator<Item = &Member> {
         let removed = self.before.iter();
         let removed = removed.filter(|member| !self.remains_member(&member.node));
         self.list.iter().chain(removed)
     }
 
-    /// Whether no change is under way.
+    /// Returns whether no change is pending.
     pub fn is_settled(&self) -> bool {
         self.before.is_empty()
     }
 
-    /// The next version with `member` added, or its entry replaced wherever it
-    /// stands. A member may be added so only while nothing can be kept.
+    /// Returns the next version with `member` added, or replaced in both lists. Adding
+    /// a member this way is safe only while nothing can be stored.
     pub fn with_member(&self, member: Member) -> Self {
         let mut next = Self {
             version: self.version + 1,
@@ -79,16 +81,16 @@
             next.list.push(member);
             return next;
         }
-        let entries = next.list.iter_mut().chain(next.before.iter_mut());
-        for entry in entries.filter(|entry| entry.node == member.node) {
+        let existing = next.list.iter_mut().chain(next.before.iter_mut());
+        for entry in existing.filter(|entry| entry.node == member.node) {
             *entry = member.clone();
         }
         next
     }
 
-    /// The next version, in which a change to this list is under way. A change
-    /// that is under way already gets another aim: what was kept meanwhile has a
-    /// quorum of the members before.
+    /// Returns the next version with a pending change to `list`. If a change is already
+    /// pending, its target is replaced: what was stored meanwhile has a quorum of the
+    /// previous members.
     pub fn start_change(&self, list: List<Member>) -> Self {
         let before = match self.is_settled() {
             true => self.list.clone(),
@@ -101,7 +103,7 @@
         }
     }
 
-    /// The next version, in which the change under way is settled.
+    /// Returns the next version, in which the pending change is settled.
     pub fn settle_change(&self) -> Self {
         Self {
             version: self.version + 1,
@@ -110,7 +112,7 @@
         }
     }
 
-    /// The next version, in which the change under way is given up.
+    /// Returns the next version, in which the pending change is undone.
     pub fn abandon_change(&self) -> Self {
         Self {
             version: self.version + 1,
@@ -119,14 +121,14 @@
         }
     }
 
-    /// The list without the member on this machine.
+    /// Returns the member list without the member on machine `node`.
     pub fn list_without(&self, node: &str) -> List<Member> {
         let mut list = self.list.clone();
         list.retain(|member| member.node.as_str() != node);
         list
     }
 
-    /// The list with another member in the place of the one on this machine.
+    /// Returns the member list with `member` in place of the one on machine `node`.
     pub fn list_replacing(&self, node: &str, member: Member) -> List<Member> {
         let mut list = self.list.clone();
         for entry in list.iter_mut().filter(|entry| entry.node.as_str() == node) {
@@ -135,39 +137,42 @@
         list
     }
 
-    /// Copies that a record needs of the list before it counts as kept. `None`
-    /// while the group is too small for that.
+    /// Returns the number of copies that make a record durable; `None` if the group is
+    /// too small.
     pub fn write_quorum(&self, tolerance: &Tolerance) -> Option<usize> {
         write_quorum(&self.list, tolerance)
     }
 
-    /// The write quorums in force. `None` while the group is too small for one.
+    /// Returns the write quorums in force; `None` if the group is too small for one.
     pub fn quorums(&self, tolerance: &Tolerance) -> Option<Quorums> {
-        let before = match self.is_settled() {
+        let previous = match self.is_settled() {
             true => 0,
             false => write_quorum(&self.before, tolerance)?,
         };
         Some(Quorums {
             current: write_quorum(&self.list, tolerance)?,
-            previous: before,
+            previous,
         })
     }
 
-    /// Whether these members are a write quorum of the list and, during a change, of
-    /// the members before. A record that is on them is kept; one that so many
-    /// complete members miss is known not to be.
-    pub fn has_quorum(&self, quorums: Quorums, counts: impl Fn(&Member) -> bool) -> bool {
-        let counted = |list: &[Member]| list.iter().filter(|member| counts(member)).count();
-        counted(&self.list) >= quorums.current && counted(&self.before) >= quorums.previous
+    /// Returns whether the selected members are a write quorum of the list and, during
+    /// a change, also of the previous members. A record on such members is durable; a
+    /// record that is missing on such members, all of them complete, is known not to
+    /// be.
+    pub fn has_quorum(&self, quorums: Quorums, is_selected: impl Fn(&Member) -> bool) -> bool {
+        let selected_count =
+            |list: &[Member]| list.iter().filter(|member| is_selected(member)).count();
+        selected_count(&self.list) >= quorums.current
+            && selected_count(&self.before) >= quorums.previous
     }
 
-    /// Whether these members meet every write quorum that a kept record may be on:
-    /// of the members before during a change, else of the list. Any record that
-    /// is kept then stands on one of them.
+    /// Returns whether the selected members intersect every write quorum that may hold
+    /// a record: of the previous members during a change, otherwise of the list. Every
+    /// durable record is then on at least one of them.
     pub fn intersects_every_quorum(
         &self,
         tolerance: &Tolerance,
-        counts: impl Fn(&Member) -> bool,
+        is_selected: impl Fn(&Member) -> bool,
     ) -> bool {
         let list = match self.is_settled() {
             true => &self.list,
@@ -176,16 +181,16 @@
         let Some(quorum) = write_quorum(list, tolerance) else {
             return false;
         };
-        list.iter().filter(|member| counts(member)).count() > list.len() - quorum
+        list.iter().filter(|member| is_selected(member)).count() > list.len() - quorum
     }
 }
 
-/// Members that a write quorum consists of.
+/// Sizes of the write quorums of a member list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Quorums {
-    /// Of the list.
+    /// Members needed from the list.
     current: usize,
-    /// Of the members before a change that is under way; else nought.
+    /// Members needed from the previous list during a change; otherwise zero.
     previous: usize,
 }
 
@@ -193,48 +198,46 @@
     list.iter().any(|member| member.node.as_str() == node)
 }
 
-/// Copies that a record needs of these members before it counts as kept: a
-/// majority, and more than the disks that may be lost. `None` where they are too
-/// few for that.
+/// Returns the number of copies that make a record durable: a majority, and more than
+/// the disks that may be lost at once. `None` if there are too few members.
 pub fn write_quorum(list: &[Member], tolerance: &Tolerance) -> Option<usize> {
     let count = list.len();
     let needed = majority(count).max(max_losses(list, tolerance) + 1);
     (needed <= count).then_some(needed)
 }
 
-/// Disks that may be lost at once, by the tolerance and by where the members
-/// stand.
+/// Number of disks that may be lost at once, by the tolerance and the members' zones.
 fn max_losses(list: &[Member], tolerance: &Tolerance) -> usize {
-    let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
-    let mut regions: BTreeMap<&str, usize> = BTreeMap::new();
+    let mut zone_sizes: BTreeMap<&str, usize> = BTreeMap::new();
+    let mut region_sizes: BTreeMap<&str, usize> = BTreeMap::new();
     for member in list {
         let zone = member.zone.as_str();
         let region = tolerance.region_by_zone.get(zone);
-        *zones.entry(zone).or_default() += 1;
-        *regions
+        *zone_sizes.entry(zone).or_default() += 1;
+        *region_sizes
             .entry(region.map_or(zone, String::as_str))
             .or_default() += 1;
     }
-    let in_zones = largest_total(zones.into_values(), tolerance.zones);
-    let in_regions = largest_total(regions.into_values(), tolerance.regions);
-    tolerance.machines.max(in_zones).max(in_regions)
+    let zone_losses = largest_total(zone_sizes.into_values(), tolerance.zones);
+    let region_losses = largest_total(region_sizes.into_values(), tolerance.regions);
+    tolerance.machines.max(zone_losses).max(region_losses)
 }
 
-/// What may be lost at once while nothing that was kept is.
+/// Simultaneous losses that must not lose stored records.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tolerance {
-    /// Machines.
+    /// Number of machines.
     pub machines: usize,
-    /// Zones, with all their machines.
+    /// Number of whole zones.
     pub zones: usize,
-    /// Regions, with all their zones.
+    /// Number of whole regions.
     pub regions: usize,
-    /// Region of each zone.
+    /// Region of each zone. A zone without an entry is a region of its own.
     pub region_by_zone: BTreeMap<String, String>,
 }
 
 impl Tolerance {
-    /// Machines only.
+    /// Tolerates the loss of machines only.
     pub fn of_machines(machines: usize) -> Self {
         Self {
             machines,
@@ -243,7 +246,7 @@
     }
 }
 
-/// Members in the `count` largest places.
+/// Returns the sum of the `count` largest sizes.
 fn largest_total(sizes: impl Iterator<Item = usize>, count: usize) -> usize {
     let mut sizes: Vec<usize> = sizes.collect();
     sizes.sort_unstable_by(|one, other| other.cmp(one));
--- a/crates/stageyoke-directory/src/mirror.rs
+++ b/crates/stageyoke-directory/src/mirror.rs
@@ -1,7 +1,7 @@
-//! Follows the key-value service: one complete read, then one long watch, and
-//! a complete read again whenever the service has forgotten its history. A
-//! pending watch is no proof that nothing has changed: beside it the service is
-//! asked for an answer as often as the directory's age limits demand.
+//! Follows the key-value service: one complete read, then one long watch, and a
+//! complete read again if the service no longer has the history. Because a pending
+//! watch does not prove that nothing has changed, the service is also polled as often
+//! as the directory's age limits require.
 
 mod apply;
 mod relayed;
@@ -21,18 +21,18 @@
 use crate::relay::{DirectoryRelay, RecentChanges};
 use crate::view::{Changed, Interpreter, Update, View};
 
-/// How long one watch waits at the service: it spares calls, and nothing relies
-/// on its end.
+/// How long a watch waits at the service. It limits the number of calls; correctness
+/// does not depend on it.
 pub const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
-/// While the service is unreachable every second try may take so many times as
-/// long as the others: a slow service answers these.
+/// Factor by which every second attempt waits longer while the service is unreachable,
+/// so that a slow service still succeeds.
 const PATIENT_RETRY_FACTOR: u32 = 2;
-/// Parts of the bound on changes that gathering and confirmations may take.
+/// Fractions of the change bound that batching and confirmations may take.
 const BATCH_DELAY_FRACTION: f64 = 0.3;
 const CONFIRMATION_TTL_FRACTION: f64 = 0.25;
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 
-/// What the mirror tells its owner.
+/// Events reported by `Mirror::run`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MirrorEvent {
     /// The view changed.
@@ -41,16 +41,16 @@
     Lost(KeyValueError),
     /// The service answers again.
     Regained,
-    /// An item could not be read.
+    /// An item could not be parsed.
     Unreadable(String),
 }
 
-/// How calls are spared: they come in groups, and each has its price.
+/// Intervals that reduce the number of calls to the service, which charges for them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallIntervals {
-    /// After a change the next ones are gathered this long.
+    /// Delay after a change, in which further changes are batched.
     pub batch_delay: Duration,
-    /// A linearizable read of the routes confirms them this long.
+    /// Time for which a linearizable read confirms the routes.
     pub confirmation_ttl: Duration,
 }
 
@@ -64,7 +64,7 @@
 }
 
 impl CallIntervals {
-    /// The pace where a change must be in force within `bound`.
+    /// Returns the intervals for changes that must be in force within `bound`.
     pub fn for_change_bound(bound: Duration) -> Self {
         Self {
             batch_delay: bound.mul_f64(BATCH_DELAY_FRACTION),
@@ -73,23 +73,25 @@
     }
 }
 
-/// What one exchange with the service came to.
+/// Result of one exchange with the service or a peer.
 struct Step {
-    /// Where to go on; `None`: the history is gone, everything is read again.
+    /// Revision to continue from; `None` if the history is gone and a complete read
+    /// follows.
     revision: Option<u64>,
-    /// When the view held every change up to there.
+    /// Moment at which the view held every change up to `revision`.
     as_of: Instant,
-    /// Revision of the newest change that it brought, if any.
+    /// Revision of the newest change received, if any.
     last_change: Option<u64>,
-    /// Whether more changes may follow at once, and are gathered.
+    /// Whether more changes may follow soon, so that it pays to batch them.
     may_batch: bool,
 }
 
-/// The view and the means to follow it; shared by the tasks of a process.
+/// Local copy of the directory, kept up to date by `run`; shared by the tasks of a
+/// process.
 pub struct Mirror<S, I> {
     /// The key-value service.
     pub service: S,
-    /// Reads its items.
+    /// Parser of the service's items.
     pub interpreter: I,
     view: RefCell<Rc<View>>,
     items: Option<RefCell<BTreeMap<String, Item>>>,
@@ -106,7 +108,7 @@
 }
 
 impl<S: KeyValueService, I: Interpreter> Mirror<S, I> {
-    /// A mirror that knows nothing yet.
+    /// Creates a mirror with an empty view.
     pub fn new(service: S, interpreter: I) -> Self {
         Self {
             service,
@@ -126,8 +128,8 @@
         }
     }
 
-    /// The same mirror, which asks other processes that follow the service, and
-    /// the service itself only where they can't tell.
+    /// Makes the mirror fetch changes from peers that follow the service, and from the
+    /// service itself only if none can supply them.
     pub fn with_relay(self, relay: Rc<dyn DirectoryRelay>) -> Self {
         Self {
             relay: Some(relay),
@@ -135,28 +137,28 @@
         }
     }
 
-    /// The same mirror where a change must be in force within `bound`.
+    /// Sets the time within which a change must be in force.
     pub fn with_change_bound(self, bound: Duration) -> Self {
-        let only_by_requests = self.items.is_none();
+        let used_only_by_requests = self.items.is_none();
         Self {
             intervals: CallIntervals::for_change_bound(bound),
             freshness: Rc::new(Freshness::new(
                 AgeLimits::for_change_bound(bound),
-                only_by_requests,
+                used_only_by_requests,
             )),
             ..self
         }
     }
 
-    /// The same mirror where entries are renewed by heartbeats with this pause; without
-    /// it, only the bound tells how long an absence of the service must be to count.
-    pub fn with_heartbeat_interval(self, heartbeat: Duration) -> Self {
-        self.freshness.set_heartbeat_interval(heartbeat);
+    /// Sets the interval of the heartbeats that renew entries. Without it, only the
+    /// change bound determines which outages are long enough to count.
+    pub fn with_heartbeat_interval(self, heartbeat_interval: Duration) -> Self {
+        self.freshness.set_heartbeat_interval(heartbeat_interval);
         self
     }
 
-    /// A mirror that also keeps the items themselves, to hand them on. Its
-    /// directory is in use at all times.
+    /// Creates a mirror that also caches the items, to relay them. Its directory counts
+    /// as in use at all times.
     pub fn with_item_cache(service: S, interpreter: I) -> Self {
         Self {
             items: Some(RefCell::default()),
@@ -165,24 +167,24 @@
         }
     }
 
-    /// Revision and age of the view.
+    /// Returns the revision and age of the view.
     pub fn freshness(&self) -> &Rc<Freshness> {
         &self.freshness
     }
 
-    /// Rises with every change of the view.
+    /// Returns a counter that rises with every change of the view.
     pub fn change_count(&self) -> u64 {
         self.change_count.get()
     }
 
-    /// All items of meaning, if they are kept.
+    /// Returns all relevant items, if the mirror caches them.
     pub fn items(&self) -> Vec<Item> {
         let items = self.items.as_ref();
         items.map_or_else(Vec::new, |items| items.borrow().values().cloned().collect())
     }
 
-    /// Seeds the view with a copy of items that another process kept, while
-    /// the service has not answered yet. True if anything was taken.
+    /// Seeds the view with items that another process stored, if the service has not
+    /// answered yet. Returns whether the view changed.
     pub fn seed_items(&self, items: Vec<Item>) -> bool {
         if self.last_contact().is_some() {
             return false;
@@ -194,52 +196,52 @@
         changed != Changed::default()
     }
 
-    /// The current view.
+    /// Returns the current view.
     pub fn view(&self) -> Rc<View> {
         self.view.borrow().clone()
     }
 
-    /// Waits until the view has changed.
+    /// Waits until the view changes.
     pub async fn wait_for_change(&self) {
         self.view_changed.notified().await;
     }
 
-    /// When the service last answered.
+    /// Returns when the service or a peer last answered.
     pub fn last_contact(&self) -> Option<Instant> {
         self.last_contact.get()
     }
 
-    /// Until when entries that the last answer showed to be missing may come back,
-    /// since the service was away; `None` where they have ended.
+    /// Returns the deadline by which entries that were missing in the last answer may
+    /// be back after an outage; `None` if they have ended.
     pub fn lapsed_entry_deadline(&self) -> Option<Instant> {
         self.lapsed_entry_deadline.get()
     }
 
-    /// Reads the configuration linearizably, unless a read began after the
-    /// call, or so shortly before that the bound on changes is kept.
+    /// Reads the configuration linearizably, unless a read started after the call or
+    /// within `confirmation_ttl` before it.
     pub async fn confirm_routes(&self) -> Result<(), KeyValueError> {
         self.ensure_routes_read(self.intervals.confirmation_ttl)
             .await?;
         Ok(())
     }
 
-    /// The same for a read that began at most so long before the call; returns
-    /// when it began.
-    async fn ensure_routes_read(&self, confirmed_for: Duration) -> Result<Instant, KeyValueError> {
-        let asked = Instant::now();
+    /// Reads the configuration unless a read started within `max_age` before the
+    /// call; returns the start of that read.
+    async fn ensure_routes_read(&self, max_age: Duration) -> Result<Instant, KeyValueError> {
+        let called_at = Instant::now();
         let mut last_read = self.last_routes_read.lock().await;
-        let recent = |started: &Instant| *started + confirmed_for >= asked;
-        if let Some(started) = last_read.filter(recent) {
-            return Ok(started);
+        let is_recent = |started_at: &Instant| *started_at + max_age >= called_at;
+        if let Some(started_at) = last_read.filter(is_recent) {
+            return Ok(started_at);
         }
-        if let Some(started) = self.apply_relayed_routes().await.filter(recent) {
-            *last_read = Some(started);
-            return Ok(started);
+        if let Some(started_at) = self.apply_relayed_routes().await.filter(is_recent) {
+            *last_read = Some(started_at);
+            return Ok(started_at);
         }
-        let started = Instant::now();
+        let started_at = Instant::now();
         self.read_item(self.interpreter.routes_key()).await?;
-        *last_read = Some(started);
-        Ok(started)
+        *last_read = Some(started_at);
+        Ok(started_at)
     }
 
     /// Reads the store groups linearizably.
@@ -255,7 +257,8 @@
         Ok(())
     }
 
-    /// Seeds the view from a copy kept elsewhere, before the service answers.
+    /// Seeds the view with store groups from another source, before the service
+    /// answers.
     pub fn seed_stores(&self, stores: StoreGroups) {
         let mut changed = Changed::default();
         self.edit_view(
@@ -264,7 +267,7 @@
         );
     }
 
-    /// Follows the service for ever.
+    /// Follows the service indefinitely.
     pub async fn run(&self, mut report: impl FnMut(MirrorEvent)) {
         let mut backoff = INITIAL_BACKOFF;
         let mut after = None;
@@ -304,14 +307,14 @@
         }
     }
 
-    /// One complete read, one watch, or one try to reach the service again.
+    /// Does one complete read, one watch, or one attempt to reach the service again.
     async fn follow_once(
         &self,
         after: Option<u64>,
         failures: u32,
         report: &mut impl FnMut(MirrorEvent),
     ) -> Result<Step, KeyValueError> {
-        let began = Instant::now();
+        let started_at = Instant::now();
         match after {
             None => {
                 if let Some(step) = self.read_all_relayed(report).await {
@@ -320,8 +323,8 @@
                 let revision = self.read_all(report).await?;
                 Ok(Step {
                     revision: Some(revision),
-                    as_of: began,
-                    // What was removed before left no item that tells when.
+                    as_of: started_at,
+                    // Removals left no item, so the newest change is unknown.
                     last_change: Some(revision),
                     may_batch: false,
                 })
@@ -337,20 +340,19 @@
                 let patience = 1 + (failures % PATIENT_RETRY_FACTOR);
                 tokio::select! {
                     outcome = self.poll_service(revision, patience) => {
-                        Ok(self.apply_service_answer(outcome?, began, report))
+                        Ok(self.apply_service_answer(outcome?, started_at, report))
                     }
                     () = self.freshness.wait_for_peers() => {
-                        let told = self.apply_relayed_changes(revision, report).await;
-                        told.ok_or(KeyValueError::NoAnswer)
+                        let relayed = self.apply_relayed_changes(revision, report).await;
+                        relayed.ok_or(KeyValueError::NoAnswer)
                     }
                 }
             }
         }
     }
 
-    /// Watches; while the watch is pending the service is asked for an answer
-    /// whenever the directory gets old. An answer that brings what the watch
-    /// did not shows that the watch is dead: it is dropped.
+    /// Watches for changes, and polls the service whenever a refresh is due. If a poll
+    /// returns changes that the watch did not, the watch is dead and is dropped.
     async fn follow(
         &self,
         revision: u64,
@@ -364,7 +366,7 @@
                 outcome = &mut watch => return self.apply_watch_outcome(outcome, report),
                 () = self.freshness.wait_until_overdue() => {}
             }
-            let asked_at = Instant::now();
+            let sent_at = Instant::now();
             let outcome = tokio::select! {
                 outcome = &mut watch => return self.apply_watch_outcome(outcome, report),
                 outcome = self.poll_service(revision, 1) => outcome?,
@@ -372,18 +374,19 @@
             match &outcome {
                 WatchOutcome::Changes {
                     changes,
-                    revision: now,
+                    revision: answered_revision,
                 } if changes.is_empty() => {
-                    revision = revision.max(*now);
+                    revision = revision.max(*answered_revision);
                     self.last_contact.set(Some(Instant::now()));
-                    self.freshness.confirm(revision, None, asked_at);
+                    self.freshness.confirm(revision, None, sent_at);
                 }
-                _ => return Ok(self.apply_service_answer(outcome, asked_at, report)),
+                _ => return Ok(self.apply_service_answer(outcome, sent_at, report)),
             }
         }
     }
 
-    /// Takes the end of a watch that was pending; where it failed, it failed now.
+    /// Applies the result of a watch. A failed watch counts as failed now, not at its
+    /// start.
     fn apply_watch_outcome(
         &self,
         outcome: Result<WatchOutcome, KeyValueError>,
@@ -394,43 +397,43 @@
         Ok(self.apply_service_answer(outcome?, now, report))
     }
 
-    /// Applies an answer of the service itself.
+    /// Applies an answer from the service itself.
     fn apply_service_answer(
         &self,
         outcome: WatchOutcome,
         as_of: Instant,
         report: &mut impl FnMut(MirrorEvent),
     ) -> Step {
-        let back_until = self.freshness.lapsed_entry_deadline(as_of);
-        self.apply_outcome(outcome, as_of, back_until, report)
+        let lapsed_entry_deadline = self.freshness.lapsed_entry_deadline(as_of);
+        self.apply_outcome(outcome, as_of, lapsed_entry_deadline, report)
     }
 
-    /// Asks for what has changed since a revision, on another connection than a
-    /// pending watch's. Fails once the time for an answer is over.
+    /// Requests the changes since a revision, on a connection separate from the pending
+    /// watch's. Fails after the answer timeout times `patience`.
     async fn poll_service(
         &self,
         revision: u64,
         patience: u32,
     ) -> Result<WatchOutcome, KeyValueError> {
         let prefix = self.interpreter.prefix();
-        let within = self.freshness.limits().answer_timeout * patience;
+        let answer_timeout = self.freshness.limits().answer_timeout * patience;
         self.last_request_at.set(Instant::now());
-        let asking = self.service.watch(prefix, revision, Duration::ZERO);
-        tokio::time::timeout(within, asking)
+        let answer = self.service.watch(prefix, revision, Duration::ZERO);
+        tokio::time::timeout(answer_timeout, answer)
             .await
             .map_err(|_| KeyValueError::NoAnswer)?
     }
 
-    /// Applies an answer that was the newest state at `as_of`; entries that it shows
-    /// to be gone may come back until then.
+    /// Applies an answer that was current at `as_of`. Entries that are missing in it
+    /// may be back until `lapsed_entry_deadline`.
     fn apply_outcome(
         &self,
         outcome: WatchOutcome,
         as_of: Instant,
-        back_until: Option<Instant>,
+        lapsed_entry_deadline: Option<Instant>,
         report: &mut impl FnMut(MirrorEvent),
     ) -> Step {
-        self.lapsed_entry_deadline.set(back_until);
+        self.lapsed_entry_deadline.set(lapsed_entry_deadline);
         match outcome {
             WatchOutcome::HistoryCompacted => Step {
                 revision: None,
@@ -452,7 +455,7 @@
     }
 
     async fn read_all(&self, report: &mut impl FnMut(MirrorEvent)) -> Result<u64, KeyValueError> {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let mut pages: Vec<RangePage> = Vec::new();
         loop {
             let after = pages
@@ -461,9 +464,9 @@
                 .map(|item| item.key.clone());
             let prefix = self.interpreter.prefix();
             self.last_request_at.set(Instant::now());
-            let reading = self.service.range(prefix, after.as_deref());
-            let within = self.freshness.limits().answer_timeout * PATIENT_RETRY_FACTOR;
-            let page = tokio::time::timeout(within, reading)
+            let answer = self.service.range(prefix, after.as_deref());
+            let answer_timeout = self.freshness.limits().answer_timeout * PATIENT_RETRY_FACTOR;
+            let page = tokio::time::timeout(answer_timeout, answer)
                 .await
                 .map_err(|_| KeyValueError::NoAnswer)??;
             let more = page.more;
@@ -472,10 +475,10 @@
                 break;
             }
         }
-        // The pages form no snapshot: changes since the first are seen again.
+        // The pages are no snapshot: changes since the first page are received again.
         let revision = pages.first().map_or(0, |page| page.revision);
         self.lapsed_entry_deadline
-            .set(self.freshness.lapsed_entry_deadline(began));
+            .set(self.freshness.lapsed_entry_deadline(started_at));
         self.apply_pages(pages, report);
         Ok(revision)
     }
--- a/crates/stageyoke-directory/src/mirror/apply.rs
+++ b/crates/stageyoke-directory/src/mirror/apply.rs
@@ -1,4 +1,4 @@
-//! How the mirror's view takes what it hears, from whomever.
+//! Applies items and changes to the mirror's view.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Keeps a change to hand it on, where items are kept.
+    /// Caches a change for relaying, if the mirror caches items.
     pub(super) fn cache_recent_change(&self, change: &Change) {
         if self.items.is_some() {
             self.recent_changes.borrow_mut().push(change.clone());
@@ -94,9 +94,9 @@
         change: impl FnOnce(&mut View, &mut Changed),
         changed: &mut Changed,
     ) {
-        let mut slot = self.view.borrow_mut();
-        change(Rc::make_mut(&mut slot), changed);
-        drop(slot);
+        let mut view = self.view.borrow_mut();
+        change(Rc::make_mut(&mut view), changed);
+        drop(view);
         if *changed != Changed::default() {
             self.change_count.set(self.change_count.get() + 1);
             self.view_changed.notify_waiters();
--- a/crates/stageyoke-directory/src/mirror/relayed.rs
+++ b/crates/stageyoke-directory/src/mirror/relayed.rs
@@ -1,5 +1,5 @@
-//! The mirror's dealings with other processes: what it takes from those that
-//! follow the service, and what it tells them.
+//! Exchanges the directory with peers: fetches it from those that follow the service,
+//! and relays it to others.
 
 use std::time::Duration;
 
@@ -13,26 +13,26 @@
 };
 use crate::view::{Changed, Interpreter};
 
-/// Parts of the bound on changes: how old a copy that other processes tell may
-/// be to be taken, and the least time between two questions to them.
+/// Fractions of the change bound: maximum age of a relayed copy, and minimum pause
+/// between two requests to peers.
 const MAX_RELAYED_AGE_FRACTION: f64 = 0.7;
 const RELAY_PAUSE_FRACTION: f64 = 0.05;
-/// Part of the time for an answer of the service that other processes have to
-/// tell the configuration, before it is read directly.
+/// Fraction of the service's answer timeout that peers have to supply the configuration
+/// before it is read from the service.
 const RELAYED_ROUTES_TIMEOUT_FRACTION: f64 = 0.25;
-/// Part of the time for which a read of the configuration counts that it may
-/// have when it is told to others: they let it count for the rest.
+/// Fraction of the confirmation TTL that a read may have aged when it is relayed; the
+/// receiver uses the rest.
 const RELAYED_ROUTES_TTL_FRACTION: f64 = 0.5;
-/// How long other processes are asked for everything at a start, before the
-/// service is: they may be starting too.
+/// How long a starting process tries peers, which may be starting too, before it reads
+/// everything from the service.
 const RELAY_STARTUP_TIMEOUT: Duration = Duration::from_millis(1500);
 const RELAY_STARTUP_RETRY_DELAY: Duration = Duration::from_millis(150);
 
 impl<S: KeyValueService, I: Interpreter> Mirror<S, I> {
-    pub(super) fn fraction_of_bound(&self, part: f64) -> Duration {
+    pub(super) fn fraction_of_bound(&self, fraction: f64) -> Duration {
         self.intervals
             .batch_delay
-            .mul_f64(part / BATCH_DELAY_FRACTION)
+            .mul_f64(fraction / BATCH_DELAY_FRACTION)
     }
 
     fn relay_requirements(&self) -> RelayRequirements {
@@ -42,35 +42,35 @@
         }
     }
 
-    /// Reads everything from another process that follows the service. At a
-    /// start that is tried for a while, until the service itself is asked.
+    /// Reads everything from a peer that follows the service. At startup this is
+    /// retried for `RELAY_STARTUP_TIMEOUT`.
     pub(super) async fn read_all_relayed(
         &self,
         report: &mut impl FnMut(MirrorEvent),
     ) -> Option<Step> {
         let relay = self.relay.as_ref()?;
-        let starting = self.last_contact.get().is_none();
-        let until = Instant::now() + RELAY_STARTUP_TIMEOUT;
+        let is_starting = self.last_contact.get().is_none();
+        let give_up_at = Instant::now() + RELAY_STARTUP_TIMEOUT;
         loop {
-            let acceptable = self.relay_requirements();
-            if let Some(relayed) = relay.fetch_items(acceptable).await
-                && relayed.payload.age < acceptable.max_age
+            let requirements = self.relay_requirements();
+            if let Some(reply) = relay.fetch_items(requirements).await
+                && reply.payload.age < requirements.max_age
             {
-                let as_of = relayed.as_of(relayed.payload.age);
-                let back_until = self.relayed_lapsed_entry_deadline(
-                    &relayed,
-                    relayed.payload.lapsed_entry_grace,
+                let as_of = reply.as_of(reply.payload.age);
+                let lapsed_entry_deadline = self.relayed_lapsed_entry_deadline(
+                    &reply,
+                    reply.payload.lapsed_entry_grace,
                     as_of,
                 );
                 let RelayedItems {
                     items, revision, ..
-                } = relayed.payload;
+                } = reply.payload;
                 let page = RangePage {
                     items,
                     more: false,
                     revision,
                 };
-                self.lapsed_entry_deadline.set(back_until);
+                self.lapsed_entry_deadline.set(lapsed_entry_deadline);
                 self.apply_pages(vec![page], report);
                 return Some(Step {
                     revision: Some(revision),
@@ -79,23 +79,23 @@
                     may_batch: false,
                 });
             }
-            if !starting || !relay.has_sources() || Instant::now() >= until {
+            if !is_starting || !relay.has_sources() || Instant::now() >= give_up_at {
                 return None;
             }
             tokio::time::sleep(RELAY_STARTUP_RETRY_DELAY).await;
         }
     }
 
-    /// Asks other processes when the directory gets old, or when one of them has
-    /// told of a change; the service where none has a young copy.
+    /// Fetches changes from peers when a refresh is due or when one of them has
+    /// reported a change; falls back to the service if no peer has a fresh copy.
     pub(super) async fn follow_relay(
         &self,
         revision: u64,
         report: &mut impl FnMut(MirrorEvent),
     ) -> Result<Step, KeyValueError> {
         loop {
-            // An idle process is told as well: it costs the service nothing, and
-            // what has no routes yet can't be ready for its first request.
+            // Idle processes are refreshed too: it costs no call to the service, and a
+            // process without routes could not be ready for its first request.
             tokio::select! {
                 () = self.freshness.wait_until_overdue() => {}
                 () = self.freshness.wait_until_lagging() => {}
@@ -108,90 +108,87 @@
                 break;
             }
         }
-        let began = Instant::now();
+        let started_at = Instant::now();
         let outcome = self.poll_service(revision, 1).await?;
-        Ok(self.apply_service_answer(outcome, began, report))
+        Ok(self.apply_service_answer(outcome, started_at, report))
     }
 
     fn relayed_lapsed_entry_deadline<T>(
         &self,
-        relayed: &RelayReply<T>,
-        back_within: Duration,
+        reply: &RelayReply<T>,
+        grace: Duration,
         as_of: Instant,
     ) -> Option<Instant> {
-        let told = (!back_within.is_zero()).then(|| relayed.sent_at + back_within)?;
-        self.freshness.relayed_lapsed_entry_deadline(as_of, told)
+        let relayed_deadline = (!grace.is_zero()).then(|| reply.sent_at + grace)?;
+        self.freshness
+            .relayed_lapsed_entry_deadline(as_of, relayed_deadline)
     }
 
-    /// How much longer entries that this process misses may come back.
+    /// Returns how much longer entries that this process misses may come back.
     fn lapsed_entry_grace(&self) -> Duration {
         let as_of = self.freshness.confirmed_at();
-        let until = as_of.and_then(|as_of| self.freshness.lapsed_entry_deadline(as_of));
-        until.map_or(Duration::ZERO, |until| {
-            until.saturating_duration_since(Instant::now())
+        let deadline = as_of.and_then(|as_of| self.freshness.lapsed_entry_deadline(as_of));
+        deadline.map_or(Duration::ZERO, |deadline| {
+            deadline.saturating_duration_since(Instant::now())
         })
     }
 
-    /// What another process tells of the changes after a revision, if its copy
-    /// is young.
+    /// Applies the changes after a revision from a peer, if its copy is fresh.
     pub(super) async fn apply_relayed_changes(
         &self,
         revision: u64,
         report: &mut impl FnMut(MirrorEvent),
     ) -> Option<Step> {
         let relay = self.relay.as_ref()?;
-        let acceptable = self.relay_requirements();
-        let relayed = relay.fetch_changes(revision, acceptable).await?;
-        let as_of = relayed.as_of(relayed.payload.age);
-        let back_until =
-            self.relayed_lapsed_entry_deadline(&relayed, relayed.payload.lapsed_entry_grace, as_of);
-        if as_of.elapsed() > acceptable.max_age {
+        let requirements = self.relay_requirements();
+        let reply = relay.fetch_changes(revision, requirements).await?;
+        let as_of = reply.as_of(reply.payload.age);
+        let lapsed_entry_deadline =
+            self.relayed_lapsed_entry_deadline(&reply, reply.payload.lapsed_entry_grace, as_of);
+        if as_of.elapsed() > requirements.max_age {
             return None;
         }
         let RelayedChanges {
             changes,
-            revision: told,
+            revision: relayed_revision,
             ..
-        } = relayed.payload;
+        } = reply.payload;
         let outcome = match changes {
             None => WatchOutcome::HistoryCompacted,
-            // A copy that is behind this one held all there was at its time,
-            // and this one holds that too.
+            // A lagging peer held every change of its time, and this process holds
+            // those too.
             Some(changes) => WatchOutcome::Changes {
                 changes,
-                revision: told.max(revision),
+                revision: relayed_revision.max(revision),
             },
         };
-        let step = self.apply_outcome(outcome, as_of, back_until, report);
-        // Other processes are not asked without a pause.
-        let gather = step.revision.is_some();
-        Some(Step {
-            may_batch: gather,
-            ..step
-        })
+        let step = self.apply_outcome(outcome, as_of, lapsed_entry_deadline, report);
+        // Batching also keeps a pause between two requests to peers.
+        let may_batch = step.revision.is_some();
+        Some(Step { may_batch, ..step })
     }
 
-    /// Takes the configuration from another process, which reads it for many;
-    /// returns when that read began at the latest.
+    /// Applies the configuration from a peer that reads it on behalf of many processes;
+    /// returns the latest time at which that read can have started.
     pub(super) async fn apply_relayed_routes(&self) -> Option<Instant> {
         let relay = self.relay.as_ref()?;
-        let within = self
+        let answer_timeout = self
             .freshness
             .limits()
             .answer_timeout
             .mul_f64(RELAYED_ROUTES_TIMEOUT_FRACTION);
-        let relayed = relay.fetch_routes(within).await?;
-        let started = relayed.as_of(relayed.payload.age);
-        let item = relayed.payload.item;
+        let reply = relay.fetch_routes(answer_timeout).await?;
+        let started_at = reply.as_of(reply.payload.age);
+        let item = reply.payload.item;
         let key = self.interpreter.routes_key();
         if item.key == key {
             self.apply_item(key, Some(item), 0, &mut Changed::default());
         }
-        Some(started)
+        Some(started_at)
     }
 
-    /// More changes may follow at once. Calls to the service are gathered longer
-    /// than those to other processes: they have their price.
+    /// Returns the delay for batching changes. It is longer for the service, which
+    /// charges for calls, than for peers.
     pub(super) fn pause_after_change(&self) -> Duration {
         match &self.relay {
             Some(_) => self.fraction_of_bound(RELAY_PAUSE_FRACTION),
@@ -213,14 +210,14 @@
 
     fn relay_routes(&self) -> RoutesFuture<'_> {
         Box::pin(async move {
-            let within = self
+            let max_age = self
                 .intervals
                 .confirmation_ttl
                 .mul_f64(RELAYED_ROUTES_TTL_FRACTION);
-            let started = self.ensure_routes_read(within).await.ok()?;
+            let started_at = self.ensure_routes_read(max_age).await.ok()?;
             let items = self.items.as_ref()?.borrow();
             let item = items.get(self.interpreter.routes_key())?.clone();
-            let age = started.elapsed();
+            let age = started_at.elapsed();
             Some(RelayedRoutes { item, age })
         })
     }
--- a/crates/stageyoke-directory/src/model.rs
+++ b/crates/stageyoke-directory/src/model.rs
@@ -1,4 +1,4 @@
-//! Routes, services and replicas, as the product understands them.
+//! Model of the configuration: routes, services, replicas and retirements.
 
 use std::time::Duration;
 
@@ -6,61 +6,61 @@
 
 use crate::tenants::Tenants;
 
-/// Whether and how a route's requests may be repeated.
+/// Whether and how requests of a route may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
     /// May run more than once.
     Repeatable,
     /// Runs at most once.
     Once,
-    /// A stream of events; repeatable only where it can be resumed.
+    /// Streams events; repeatable only if the stream can be resumed.
     Stream,
 }
 
-/// One destination of a route with its share.
+/// A destination of a route, with its weight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// The service's name.
+    /// Name of the destination service.
     pub service: Text,
-    /// Share relative to the route's other targets.
+    /// Weight relative to the route's other targets.
     pub weight: u32,
 }
 
-/// One route: a host and a path prefix.
+/// A route, selected by host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Name for logs.
+    /// Name of the route in logs.
     pub name: Text,
-    /// Host, without port.
+    /// Host without port.
     pub host: Text,
-    /// Prefix of the path; the longest that fits wins.
+    /// Path prefix; the longest match wins.
     pub path_prefix: Text,
     /// Whether requests may be repeated.
     pub kind: RouteKind,
-    /// The longest that a request is held.
+    /// Maximum time that a request may take.
     pub timeout: Duration,
-    /// Latency objective, to the first byte of streams.
+    /// Latency objective; for streams, of the first byte.
     pub latency_objective: Duration,
-    /// Rank; zero is the highest.
+    /// Priority of the route's requests; zero is the highest.
     pub priority: u8,
-    /// Destinations; one or more.
+    /// Destinations; at least one.
     pub targets: Vec<Target>,
-    /// Largest number of replicas that one request may run on.
+    /// Maximum number of replicas that one request may run on.
     pub max_attempts: u32,
-    /// Whether the history of the route's turns is kept.
+    /// Whether the history of the route's turns is stored.
     pub stores_history: bool,
-    /// How long a turn is kept after its end.
+    /// How long a turn is stored after its end.
     pub retention: Duration,
-    /// Whether a broken stream may continue at another replica.
+    /// Whether a broken stream may continue on another replica.
     pub resumable: bool,
-    /// Whether requests need no key even where the configuration has tenants.
+    /// Whether requests need no key even if the configuration has tenants.
     pub allows_anonymous: bool,
-    /// Whether a replica serves an object faster that it has seen lately.
+    /// Whether a replica serves an object faster if it has served it recently.
     pub affinity: bool,
 }
 
 impl Route {
-    /// Whether a request may run more than once.
+    /// Returns whether a request may run more than once.
     pub fn is_repeatable(&self) -> bool {
         match self.kind {
             RouteKind::Repeatable => true,
@@ -70,58 +70,58 @@
     }
 }
 
-/// The shape of a model engine behind a service.
+/// Capacity of a model engine's replicas.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineShape {
-    /// Requests that one replica runs at once.
+    /// Requests that one replica runs concurrently.
     pub slots: u32,
-    /// Tokens of prompts and answers that one replica holds.
+    /// Tokens of prompts and answers that fit into one replica's cache.
     pub cache_tokens: u64,
     /// Tokens in one event of a stream.
     pub tokens_per_event: u32,
 }
 
-/// One service of the configuration.
+/// A service of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceSpec {
-    /// Its name.
+    /// Name of the service.
     pub name: Text,
     /// Connections that one replica accepts from all callers together.
     pub max_connections: u32,
-    /// Present where replicas are model engines.
+    /// Engine capacity, if the replicas are model engines.
     pub engine: Option<EngineShape>,
 }
 
-/// What a caller may send.
+/// Limits on callers' HTTP requests and connections.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HttpLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Time for a request's head.
+    /// Timeout for receiving a request's head.
     pub header_timeout: Duration,
-    /// Time that a connection may rest.
+    /// Idle timeout of a caller's connection.
     pub idle_timeout: Duration,
 }
 
-/// One complete configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteTable {
-    /// Rises with each configuration.
+    /// Version of the configuration; increases with each one.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Route>,
     /// All services.
     pub services: Vec<ServiceSpec>,
-    /// Limits towards callers.
+    /// Limits on callers' requests.
     pub limits: HttpLimits,
-    /// Who may call; none where callers need no key.
+    /// Tenants with their keys; `None` if callers need no key.
     pub tenants: Option<Tenants>,
 }
 
 impl RouteTable {
-    /// The route of a request: same host, longest matching prefix.
+    /// Returns the route for a request: same host, longest matching prefix.
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         self.routes
             .iter()
@@ -132,7 +132,7 @@
             .max_by_key(|route| route.path_prefix.len())
     }
 
-    /// The service of this name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &str) -> Option<&ServiceSpec> {
         self.services
             .iter()
@@ -140,66 +140,67 @@
     }
 }
 
-/// Whether a replica takes new work.
+/// Whether a replica accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaState {
-    /// Takes work.
+    /// Accepts requests.
     Ready,
-    /// Finishes what it has; gets nothing new.
+    /// Finishes its requests and accepts no new ones.
     Draining,
 }
 
-/// What tells one start of a replica from another under the same identifier.
+/// Identifies one start of a replica among several under the same identifier.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaStart {
-    /// When it started, in Unix milliseconds by its own clock; none from a replica of
-    /// an older version.
+    /// Start time in Unix milliseconds, by the replica's clock; `None` from a replica
+    /// of an older version.
     pub started_at_ms: Option<u64>,
-    /// Orders that it has taken since.
+    /// Number of orders that the replica has received since its start.
     pub orders_received: Option<u64>,
 }
 
 impl ReplicaStart {
-    /// Whether something said later is of the same start. The clock may have jumped
-    /// either way in between; orders are counted anew from each start.
+    /// Returns whether `later` describes the same start. Start times are not ordered,
+    /// since the clock may jump either way; orders are counted from zero after each
+    /// start.
     pub fn is_continued_by(self, later: Self) -> bool {
         self.started_at_ms == later.started_at_ms
             && (self.orders_received.is_none() || self.orders_received <= later.orders_received)
     }
 }
 
-/// What a replica says of itself.
+/// A replica's entry in the directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaRecord {
-    /// Service that it belongs to.
+    /// Service that the replica belongs to.
     pub service: Text,
-    /// `IP:PORT`.
+    /// Listen address as `IP:PORT`.
     pub address: Text,
-    /// Zone that it is in.
+    /// Zone of the replica.
     pub zone: Text,
-    /// Requests that it works on at once.
+    /// Requests that the replica runs concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether the replica accepts new requests.
     pub state: ReplicaState,
-    /// Which of its starts says so.
+    /// Start that wrote this entry.
     pub start: ReplicaStart,
 }
 
 impl ReplicaRecord {
-    /// Whether a later record is of the same incarnation: what was believed of this
-    /// one holds for it.
+    /// Returns whether `later` is an entry of the same incarnation, so that what is
+    /// known about this one still holds.
     pub fn is_continued_by(&self, later: &Self) -> bool {
-        let same_place = self.service == later.service
+        let same_listing = self.service == later.service
             && self.address == later.address
             && self.zone == later.zone
             && self.slots == later.slots;
-        same_place && self.start.is_continued_by(later.start)
+        same_listing && self.start.is_continued_by(later.start)
     }
 }
 
-/// The operator's order to empty a store.
+/// An operator's order to empty a store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Retirement {
-    /// Time within which it must be done.
+    /// Time within which the store must be empty.
     pub complete_within: Duration,
 }
--- a/crates/stageyoke-directory/src/outage.rs
+++ b/crates/stageyoke-directory/src/outage.rs
@@ -1,48 +1,51 @@
-//! Whether the key-value service was away. Who writes an entry renews it; while the
-//! service is away nobody can, and entries run out though their writers live. Entries
-//! that go while the service answers have really ended.
+//! Detects outages of the key-value service. Writers renew their entries by heartbeat;
+//! during an outage they cannot, so entries lapse although their writers are alive.
+//! Entries that disappear while the service answers have really ended.
 //!
-//! One process's own silence shows nothing: it may itself be cut off, or turned away.
-//! The service was away where nobody got an answer for long, as far as is known, and
-//! another process that was heard meanwhile had none either. Who tells of an absence
-//! may have been turned away together with those it hears: it counts for others only as
-//! far as they had no answer themselves.
+//! A failed request of this process alone is no evidence: the process may be
+//! partitioned or rejected. An outage requires that no answer is known for long enough,
+//! and that a peer this process was in contact with meanwhile had none either. A
+//! process that relays its outage may have been partitioned together with the peers it
+//! reached, so receivers accept the outage only for the time in which they had no
+//! answer themselves.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Time from the service's return until entries that ran out meanwhile are back (about
-/// two seconds, by the platform's page on service discovery) and followers have heard of
-/// it; one that is missing longer has ended. Shorter than the time from which a process
-/// is bound by the list again after such a return, 3 s in the tightest deployment.
+/// Time from the end of an outage until lapsed entries are back (about two seconds, by
+/// the platform's page on service discovery) and followers have received them. An entry
+/// that is missing longer has ended. Must be shorter than the time after which a
+/// process acts on the list again following an outage: 3 s in the tightest deployment.
 pub const LAPSED_ENTRY_GRACE: Duration = Duration::from_millis(2_700);
 
-/// Heartbeats without which an entry runs out, less the one that may have come just
-/// before the service went away: a shorter absence ends no entry.
+/// Missed heartbeats after which an entry lapses, minus one that may have arrived just
+/// before the outage. A shorter outage ends no entry.
 const MIN_MISSED_HEARTBEATS: u32 = 2;
 
-/// A time in which nobody is known to have had an answer of the service.
+/// A period in which no process is known to have had an answer from the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServiceOutage {
-    /// The last moment before it for which anybody had an answer.
+    /// Last moment before the outage for which an answer is known.
     pub last_confirmed_at: Instant,
-    /// The first moment after it for which the service's state is known.
+    /// First moment after the outage for which the service's state is known.
     pub reconfirmed_at: Instant,
-    /// When the last exchange in it began that failed: the service returned after it.
+    /// Start of the last request that failed during the outage; the service returned
+    /// after it.
     pub last_failed_at: Option<Instant>,
-    /// Whether another process was heard meanwhile that had no answer either.
+    /// Whether contact with a peer during the outage showed that it had no answer
+    /// either.
     pub corroborated: bool,
 }
 
-/// How an absence is told from the calm.
+/// Thresholds that separate an outage from normal operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutageThresholds {
-    /// Pause between two heartbeats of those who write entries.
+    /// Interval between the heartbeats that renew entries.
     pub heartbeat_interval: Duration,
-    /// Longest time that passes in calm between two answers.
+    /// Longest time between two answers in normal operation.
     pub max_answer_interval: Duration,
-    /// How long entries may be used, at any rate, after they were last known to hold.
+    /// Time for which entries may be used in any case after they were last confirmed.
     pub min_usable_time: Duration,
 }
 
@@ -52,19 +55,22 @@
             .max(self.heartbeat_interval * MIN_MISSED_HEARTBEATS)
     }
 
-    /// Until when entries that ran out in an absence may come back. Learning late
-    /// shortens that: it lies within `LAPSED_ENTRY_GRACE` of the service's return, or within
-    /// the bound on changes of when they were last known to hold.
-    pub fn lapsed_entry_deadline(&self, absence: &ServiceOutage) -> Instant {
-        let at_any_rate = absence.last_confirmed_at + self.min_usable_time;
-        let after_return = absence
+    /// Returns the deadline by which entries that lapsed in the outage must be back. A
+    /// process that learns late of the return must not extend it: the deadline is the
+    /// later of `LAPSED_ENTRY_GRACE` after the last failed request and
+    /// `min_usable_time` after the last confirmation.
+    pub fn lapsed_entry_deadline(&self, outage: &ServiceOutage) -> Instant {
+        let after_confirmation = outage.last_confirmed_at + self.min_usable_time;
+        let after_failure = outage
             .last_failed_at
-            .map(|failed| failed + LAPSED_ENTRY_GRACE);
-        after_return.map_or(at_any_rate, |until| until.max(at_any_rate))
+            .map(|failed_at| failed_at + LAPSED_ENTRY_GRACE);
+        after_failure.map_or(after_confirmation, |deadline| {
+            deadline.max(after_confirmation)
+        })
     }
 }
 
-/// Finds absences in what a process sees and hears.
+/// Detects outages from this process's own requests and the reports of its peers.
 #[derive(Clone, Copy, Debug)]
 pub struct OutageDetector {
     thresholds: OutageThresholds,
@@ -75,10 +81,10 @@
 }
 
 impl OutageDetector {
-    /// Nothing was seen yet.
-    pub fn new(limits: OutageThresholds) -> Self {
+    /// Creates a detector that has seen no answer yet.
+    pub fn new(thresholds: OutageThresholds) -> Self {
         Self {
-            thresholds: limits,
+            thresholds,
             last_answer_at: None,
             last_corroborated_at: None,
             last_failed_at: None,
@@ -86,57 +92,62 @@
         }
     }
 
-    /// How an absence is told from the calm.
+    /// Returns the thresholds in use.
     pub fn thresholds(&self) -> OutageThresholds {
         self.thresholds
     }
 
-    /// What this process asked the service at that moment failed.
-    pub fn record_failure(&mut self, asked_at: Instant) {
-        self.last_failed_at = self.last_failed_at.max(Some(asked_at));
-        // What was asked before the end may fail after others had an answer.
-        if let Some(absence) = &mut self.last_outage
-            && (absence.last_confirmed_at..absence.reconfirmed_at).contains(&asked_at)
+    /// Records that a request to the service, sent at `sent_at`, failed.
+    pub fn record_failure(&mut self, sent_at: Instant) {
+        self.last_failed_at = self.last_failed_at.max(Some(sent_at));
+        // A request from before the end of the outage may fail after a peer had an
+        // answer.
+        if let Some(outage) = &mut self.last_outage
+            && (outage.last_confirmed_at..outage.reconfirmed_at).contains(&sent_at)
         {
-            absence.last_failed_at = absence.last_failed_at.max(Some(asked_at));
+            outage.last_failed_at = outage.last_failed_at.max(Some(sent_at));
         }
     }
 
-    /// The service's state at that moment is known, to this process or to another one.
-    pub fn record_answer(&mut self, at: Instant) {
-        let before = self.last_answer_at;
-        if before >= Some(at) {
+    /// Records that the service's state at the moment `answered_at` is known, to this process or
+    /// a peer.
+    pub fn record_answer(&mut self, answered_at: Instant) {
+        let previous = self.last_answer_at;
+        if previous >= Some(answered_at) {
             return;
         }
-        self.last_answer_at = Some(at);
-        let Some(known_until) = before else {
+        self.last_answer_at = Some(answered_at);
+        let Some(last_confirmed_at) = previous else {
             return;
         };
-        if at.saturating_duration_since(known_until) >= self.thresholds.min_outage() {
-            let within = |failed: &Instant| (known_until..at).contains(failed);
+        if answered_at.saturating_duration_since(last_confirmed_at) >= self.thresholds.min_outage()
+        {
+            let in_outage =
+                |failed_at: &Instant| (last_confirmed_at..answered_at).contains(failed_at);
             self.last_outage = Some(ServiceOutage {
-                last_confirmed_at: known_until,
-                reconfirmed_at: at,
-                last_failed_at: self.last_failed_at.filter(within),
+                last_confirmed_at,
+                reconfirmed_at: answered_at,
+                last_failed_at: self.last_failed_at.filter(in_outage),
                 corroborated: self
                     .last_corroborated_at
-                    .is_some_and(|heard| heard > known_until),
+                    .is_some_and(|contact_at| contact_at > last_confirmed_at),
             });
         }
     }
 
-    /// Another process was heard now, which last had an answer at that moment.
+    /// Records contact at `now` with a peer whose last answer from the service was at
+    /// `answered_at`.
     pub fn record_peer_answer(&mut self, answered_at: Instant, now: Instant) {
         self.record_answer(answered_at);
-        let without = self
+        let time_without_answer = self
             .last_answer_at
-            .map(|known| now.saturating_duration_since(known));
-        if without >= Some(self.thresholds.min_outage()) {
+            .map(|at| now.saturating_duration_since(at));
+        if time_without_answer >= Some(self.thresholds.min_outage()) {
             self.last_corroborated_at = Some(now);
         }
     }
 
-    /// The last absence that was found.
+    /// Returns the most recent outage.
     pub fn last_outage(&self) -> Option<ServiceOutage> {
         self.last_outage
     }
--- a/crates/stageyoke-directory/src/relay.rs
+++ b/crates/stageyoke-directory/src/relay.rs
@@ -1,6 +1,6 @@
-//! The directory by way of other processes: those that follow the key-value
-//! service tell the others what has changed, and how old their copy is, so that
-//! most processes need not ask the service.
+//! Relays the directory between processes: those that follow the key-value service send
+//! their peers the changes and the age of their copy, so that most processes need not
+//! call the service.
 
 use std::collections::VecDeque;
 use std::future::Future;
@@ -11,126 +11,129 @@
 
 use crate::key_value::{Change, Item};
 
-/// Bytes of changes that are kept to hand on: some configurations of the
-/// largest deployments; who has missed more reads everything again.
+/// Maximum size of the changes that are cached for relaying: several configurations of
+/// the largest deployments. A peer that has missed more reads everything again.
 const MAX_RECENT_BYTES: usize = 1024 * 1024;
-/// Bytes that a change takes beside its key and value.
+/// Estimated size of a change in addition to its key and value.
 const CHANGE_OVERHEAD_BYTES: usize = 100;
 
-/// Changes as another process tells them.
+/// Changes relayed by a peer.
 #[derive(Clone, Debug)]
 pub struct RelayedChanges {
-    /// In the order of their revisions; `None` where that process does not know
-    /// all of them any more.
+    /// Changes in the order of their revisions; `None` if the peer no longer has all of
+    /// them.
     pub changes: Option<Vec<Change>>,
-    /// Revision up to which they go.
+    /// Revision up to which the changes go.
     pub revision: u64,
-    /// How long ago that was the newest state.
+    /// Time since `revision` was last confirmed as the newest.
     pub age: Duration,
-    /// How much longer missing entries may come back, as the service was away;
-    /// zero where they have ended.
+    /// Remaining time in which missing entries may be back after an outage; zero if
+    /// they have ended.
     pub lapsed_entry_grace: Duration,
 }
 
-/// The whole directory as another process tells it.
+/// A complete directory relayed by a peer.
 #[derive(Clone, Debug)]
 pub struct RelayedItems {
-    /// All items of meaning.
+    /// All relevant items.
     pub items: Vec<Item>,
-    /// Revision that they go up to.
+    /// Revision up to which the items go.
     pub revision: u64,
-    /// How long ago that was the newest state.
+    /// Time since `revision` was last confirmed as the newest.
     pub age: Duration,
-    /// How much longer missing entries may come back, as the service was away;
-    /// zero where they have ended.
+    /// Remaining time in which missing entries may be back after an outage; zero if
+    /// they have ended.
     pub lapsed_entry_grace: Duration,
 }
 
-/// The configuration as another process tells it.
+/// The configuration relayed by a peer.
 #[derive(Clone, Debug)]
 pub struct RelayedRoutes {
-    /// Its item.
+    /// Item that holds the configuration.
     pub item: Item,
-    /// How long ago the linearizable read began that it rests on.
+    /// Time since the start of the linearizable read that returned the item.
     pub age: Duration,
 }
 
-/// What was told, and when the question was sent.
+/// A peer's reply, with the time of the request.
 #[derive(Clone, Debug)]
 pub struct RelayReply<T> {
-    /// The answer.
+    /// What the peer relayed.
     pub payload: T,
-    /// Its age counts from this moment at the latest.
+    /// When the request was sent; ages in the payload are counted from this moment, so
+    /// that they are never underestimated.
     pub sent_at: Instant,
 }
 
 impl<T> RelayReply<T> {
-    /// When the copy was the newest state, at the latest.
+    /// Returns the moment at which a copy of this age was current, rounded down by at
+    /// most one round trip.
     pub fn as_of(&self, age: Duration) -> Instant {
         self.sent_at.checked_sub(age).unwrap_or(self.sent_at)
     }
 }
 
-/// An answer that is waited for; `None` where nobody could tell.
+/// Pending reply of a peer; resolves to `None` if no peer could supply it.
 pub type RelayFuture<'a, T> = Pin<Box<dyn Future<Output = Option<RelayReply<T>>> + 'a>>;
 
-/// A read that is waited for.
+/// Pending read of the configuration; resolves to `None` if it failed.
 pub type RoutesFuture<'a> = Pin<Box<dyn Future<Output = Option<RelayedRoutes>> + 'a>>;
 
-/// What a process accepts of others.
+/// Requirements on a relayed copy.
 #[derive(Clone, Copy, Debug)]
 pub struct RelayRequirements {
-    /// Time for the answer.
+    /// Timeout of the reply.
     pub answer_timeout: Duration,
-    /// How old a copy may be; who has only an older one is passed over.
+    /// Maximum age of the copy; peers with an older one are skipped.
     pub max_age: Duration,
 }
 
-/// Processes that follow the service, as seen by one that does not.
+/// Peers that follow the service, as seen by a process that does not.
 pub trait DirectoryRelay {
-    /// Whether any such process is known.
+    /// Returns whether any such peer is known.
     fn has_sources(&self) -> bool;
-    /// What has changed after a revision.
+    /// Fetches the changes after a revision.
     fn fetch_changes(
         &self,
         after: u64,
-        acceptable: RelayRequirements,
+        requirements: RelayRequirements,
     ) -> RelayFuture<'_, RelayedChanges>;
-    /// The configuration, from a linearizable read of a moment ago.
-    fn fetch_routes(&self, within: Duration) -> RelayFuture<'_, RelayedRoutes>;
-    /// Everything.
-    fn fetch_items(&self, acceptable: RelayRequirements) -> RelayFuture<'_, RelayedItems>;
+    /// Fetches the configuration, as returned by a recent linearizable read.
+    fn fetch_routes(&self, answer_timeout: Duration) -> RelayFuture<'_, RelayedRoutes>;
+    /// Fetches all items.
+    fn fetch_items(&self, requirements: RelayRequirements) -> RelayFuture<'_, RelayedItems>;
 }
 
-/// A process that follows the service, as it tells others.
+/// A process that follows the service and relays the directory to its peers.
 pub trait DirectorySource {
-    /// What has changed after a revision; `None` while nothing is known.
+    /// Returns the changes after a revision; `None` before the first answer from the
+    /// service.
     fn relay_changes(&self, after: u64) -> Option<RelayedChanges>;
-    /// The configuration, from a linearizable read that began just before this
-    /// call at the most; `None` if there is none.
+    /// Returns the configuration from a linearizable read that started after this call
+    /// or just before it; `None` if the read failed.
     fn relay_routes(&self) -> RoutesFuture<'_>;
-    /// Everything; `None` while nothing is known.
+    /// Returns all items; `None` before the first answer from the service.
     fn relay_items(&self) -> Option<RelayedItems>;
 }
 
-/// The newest changes, within a bound of memory.
+/// Most recent changes, within a limit on memory.
 #[derive(Clone, Debug, Default)]
 pub struct RecentChanges {
     changes: VecDeque<Change>,
     bytes: usize,
-    /// All changes after this revision are here.
+    /// Revision after which every change is in `changes`.
     complete_since: u64,
 }
 
 impl RecentChanges {
-    /// Everything was read anew, up to this revision.
+    /// Discards all changes after a complete read at this revision.
     pub fn reset(&mut self, revision: u64) {
         self.changes.clear();
         self.bytes = 0;
         self.complete_since = revision;
     }
 
-    /// Takes the next change; the oldest go.
+    /// Adds a change and evicts the oldest ones beyond the size limit.
     pub fn push(&mut self, change: Change) {
         self.bytes += change_size(&change);
         self.changes.push_back(change);
@@ -142,17 +145,17 @@
         }
     }
 
-    /// All changes after a revision, if they are known.
+    /// Returns all changes after a revision, or `None` if some of them were evicted.
     pub fn changes_after(&self, revision: u64) -> Option<Vec<Change>> {
         if revision < self.complete_since {
             return None;
         }
-        let newer = self.changes.iter();
-        let newer = newer.filter(|change| change.revision() > revision);
-        Some(newer.cloned().collect())
+        let changes = self.changes.iter();
+        let changes = changes.filter(|change| change.revision() > revision);
+        Some(changes.cloned().collect())
     }
 
-    /// Bytes that they take.
+    /// Returns the estimated size of the changes, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
--- a/crates/stageyoke-directory/src/tenants.rs
+++ b/crates/stageyoke-directory/src/tenants.rs
@@ -1,18 +1,18 @@
-//! Tenants of a configuration: who holds a key, and what each may ask for.
+//! Tenants of a configuration, with their keys and rate limits.
 
 use std::collections::HashMap;
 use std::fmt;
 
 use stageyoke_types::Text;
 
-/// Digest of a tenant's key. Keys themselves are not kept: what is not held
-/// can't be logged or passed on.
+/// Digest of a tenant's key. The keys themselves are not retained, so that they cannot
+/// be logged or relayed.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyDigest(blake3::Hash);
 
 impl KeyDigest {
-    /// The digest of this key. Looking it up takes as long for a key that is
-    /// nearly right as for any other.
+    /// Returns the digest of `key`. Looking up a digest takes equally long for a nearly
+    /// correct key as for any other.
     pub fn of(key: &[u8]) -> Self {
         Self(blake3::hash(key))
     }
@@ -24,85 +24,85 @@
     }
 }
 
-/// How many requests a tenant may make through all fronts together.
+/// Rate limit of a tenant, over all fronts together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Requests a second.
+    /// Sustained requests per second.
     pub per_second: f64,
-    /// Requests beyond that at once.
+    /// Requests that may exceed the sustained rate at once.
     pub burst: f64,
 }
 
-/// One tenant.
+/// A tenant of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name, as replicas are told it.
+    /// Name of the tenant, as sent to replicas.
     pub name: Text,
-    /// Rank of its requests in place of their route's; zero is the highest.
+    /// Priority that replaces the route's; zero is the highest.
     pub priority: Option<u8>,
-    /// Its limit; none where it may ask as often as it likes.
+    /// Rate limit; `None` if the tenant is not limited.
     pub rate_limit: Option<RateLimit>,
 }
 
-/// All tenants of a configuration, found by key.
+/// All tenants of a configuration, indexed by key.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tenants {
-    list: Vec<Tenant>,
+    tenants: Vec<Tenant>,
     index_by_key: HashMap<KeyDigest, usize>,
     sharing_keys: Vec<Text>,
     without_keys: Vec<Text>,
 }
 
 impl Tenants {
-    /// Adds a tenant with its keys. A key that another tenant holds already
-    /// stays with that one, and this tenant is noted as contested.
+    /// Adds a tenant with its keys. A key that an earlier tenant has stays with that
+    /// tenant, and this one is listed in `sharing_keys`.
     pub fn add(&mut self, tenant: Tenant, keys: impl IntoIterator<Item = KeyDigest>) {
-        let index = self.list.len();
+        let index = self.tenants.len();
         let mut keys = keys.into_iter().peekable();
         if keys.peek().is_none() {
             self.without_keys.push(tenant.name.clone());
         }
         for key in keys {
-            let holder = *self.index_by_key.entry(key).or_insert(index);
-            if holder != index {
+            let owner_index = *self.index_by_key.entry(key).or_insert(index);
+            if owner_index != index {
                 self.sharing_keys.push(tenant.name.clone());
             }
         }
-        self.list.push(tenant);
+        self.tenants.push(tenant);
     }
 
-    /// The tenant that holds this key.
+    /// Returns the tenant that has this key.
     pub fn find_by_key(&self, key: &[u8]) -> Option<&Tenant> {
         let index = self.index_by_key.get(&KeyDigest::of(key))?;
-        self.list.get(*index)
+        self.tenants.get(*index)
     }
 
-    /// Tenants that name a key which another holds.
+    /// Returns the tenants that list a key of another tenant.
     pub fn sharing_keys(&self) -> &[Text] {
         &self.sharing_keys
     }
 
-    /// Tenants that name no key, and so can't call.
+    /// Returns the tenants without any key, which cannot make requests.
     pub fn without_keys(&self) -> &[Text] {
         &self.without_keys
     }
 
-    /// Tenants that may ask as often as they like.
+    /// Iterates over the names of the tenants without a rate limit.
     pub fn unlimited(&self) -> impl Iterator<Item = &Text> {
         let unlimited = self
-            .list
+            .tenants
             .iter()
             .filter(|tenant| tenant.rate_limit.is_none());
         unlimited.map(|tenant| &tenant.name)
     }
 
-    /// Number of tenants.
+    /// Returns the number of tenants.
     pub fn len(&self) -> usize {
-        self.list.len()
+        self.tenants.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether there are no tenants.
     pub fn is_empty(&self) -> bool {
-        self.list.is_empty()
+        self.tenants.is_empty()
     }
 }
--- a/crates/stageyoke-directory/src/view.rs
+++ b/crates/stageyoke-directory/src/view.rs
@@ -1,4 +1,4 @@
-//! The current view, built from items of the key-value service.
+//! Current view of the directory, built from the items of the key-value service.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -10,80 +10,81 @@
 use crate::members::Member;
 use crate::model::{ReplicaRecord, Retirement, RouteTable};
 
-/// What one item means to the product.
+/// A parsed item of the key-value service.
 #[derive(Clone, Debug)]
 pub enum Update {
     /// The newest configuration.
     Routes(RouteTable),
-    /// A replica's record, or its end.
+    /// A replica's entry was written or removed.
     Replica {
-        /// Incarnation.
+        /// Identifier of the replica's incarnation.
         id: Text,
-        /// `None`: it is gone.
+        /// `None` if the entry was removed.
         record: Option<ReplicaRecord>,
     },
-    /// An entry that names no replica to use, whatever it named before.
+    /// An entry that is invalid for use; a replica that it described before is dropped.
     Unusable {
-        /// Its identifier.
+        /// Identifier of the entry.
         id: Text,
-        /// Why.
+        /// Why the entry is unusable.
         reason: String,
     },
     /// The store groups.
     Stores(StoreGroups),
-    /// A store has registered for the groups that are to be formed.
+    /// A store registered for the groups that are yet to be formed.
     Registered(Member),
-    /// An order to empty a store, or its withdrawal.
+    /// An order to empty a store was given or withdrawn.
     Retire {
-        /// Machine name.
+        /// Name of the store's machine.
         node: Text,
-        /// `None`: withdrawn.
+        /// `None` if the order was withdrawn.
         order: Option<Retirement>,
     },
-    /// Of no meaning here.
+    /// An item that is irrelevant here.
     Ignored,
-    /// An item that cannot be read, with the reason.
+    /// An item that could not be parsed, with the reason.
     Unreadable(String),
 }
 
-/// Reads items and spells keys; supplied by the adapter.
+/// Parses items and builds keys and values; supplied by the platform's adapter.
 pub trait Interpreter {
-    /// What a key's value (or its absence) means.
+    /// Parses the value of a key; `None` if the key was removed.
     fn interpret(&self, key: &str, value: Option<&Bytes>) -> Update;
-    /// Prefix under which everything of interest lies.
+    /// Returns the prefix of all relevant keys.
     fn prefix(&self) -> &str;
-    /// Key of the configuration.
+    /// Returns the key of the configuration.
     fn routes_key(&self) -> &str;
-    /// Key of the store groups.
+    /// Returns the key of the store groups.
     fn stores_key(&self) -> &str;
-    /// The write by which a store registers.
+    /// Returns the write by which a store registers.
     fn registration(&self, store: &Member) -> crate::key_value::Write;
-    /// The write that reports the state of a store's retirement.
+    /// Returns the write that reports the state of a store's retirement.
     fn retirement_report(&self, node: &str, completed: bool) -> crate::key_value::Write;
 }
 
-/// Everything known, replaced piecewise; readers hold cheap references.
+/// Everything known about the deployment. Parts are replaced as a whole, and readers
+/// hold shared references to them.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// The configuration in force; versions only rise.
+    /// Configuration in force; its version never decreases.
     pub routes: Option<Rc<RouteTable>>,
-    /// Replicas by incarnation.
+    /// Replicas by the identifier of their incarnation.
     pub replicas: BTreeMap<Text, ReplicaRecord>,
     /// The store groups.
     pub stores: Rc<StoreGroups>,
-    /// Revision of the store groups' key; zero while absent.
+    /// Revision of the store groups' key; zero if the key is absent.
     pub stores_revision: u64,
-    /// Stores that have registered, by machine name. Each writes a key of its own:
-    /// stores that start together would undo one another's changes of a common one.
+    /// Registered stores by machine name. Each store writes its own key, since stores
+    /// that start together would overwrite each other's changes to a shared one.
     pub registered: BTreeMap<Text, Member>,
-    /// Stores that are to be emptied.
+    /// Stores with an order to be emptied, by machine name.
     pub retirements: BTreeMap<Text, Retirement>,
 }
 
-/// What changed in the view.
+/// Parts of the view that changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Changed {
-    /// Another configuration is in force.
+    /// A new configuration is in force.
     pub routes: bool,
     /// The replica list changed.
     pub replicas: bool,
@@ -92,7 +93,7 @@
 }
 
 impl View {
-    /// Applies one update.
+    /// Applies one update and notes the changed parts in `changed`.
     pub fn apply(&mut self, update: Update, revision: u64, changed: &mut Changed) {
         match update {
             Update::Routes(table) => self.apply_routes(table, changed),
@@ -145,7 +146,7 @@
         changed.stores |= before != order;
     }
 
-    /// Drops replicas and retirements that a complete read did not show.
+    /// Drops replicas and retirements that were absent in a complete read.
     pub fn retain_listed(
         &mut self,
         seen_replicas: &std::collections::BTreeSet<Text>,
