--- a/crates/stageyoke-directory/src/freshness.rs
+++ b/crates/stageyoke-directory/src/freshness.rs
@@ -1,7 +1,7 @@
 //! Tracks the age of the directory. A process may act on the directory only while it is
 //! fresh. A pending watch proves nothing, since a silent peer looks like one without
 //! changes; only answers do, from the service itself or from a process that had one
-//! since.
+//! later.
 
 use std::cell::Cell;
 use std::time::Duration;
--- a/crates/stageyoke-directory/src/members.rs
+++ b/crates/stageyoke-directory/src/members.rs
@@ -42,7 +42,8 @@
     pub version: u64,
     /// All members, in the order in which they joined.
     pub list: List<Member>,
-    /// Previous members while a change is pending; otherwise empty.
+    /// Previous members while a change is pending, which makes this a joint
+    /// configuration; otherwise empty.
     pub before: List<Member>,
 }
 
--- a/crates/stageyoke-directory/src/outage.rs
+++ b/crates/stageyoke-directory/src/outage.rs
@@ -1,13 +1,12 @@
-//! Detects outages of the key-value service. Writers renew their entries by heartbeat;
-//! during an outage they cannot, so entries lapse although their writers are alive.
-//! Entries that disappear while the service answers have really ended.
+//! Detects outages of the key-value service. During an outage writers cannot renew
+//! their entries, so entries lapse although their writers are alive; entries that
+//! disappear while the service answers have really ended.
 //!
-//! A failed request of this process alone is no evidence: the process may be
-//! partitioned or rejected. An outage requires that no answer is known for long enough,
-//! and that a peer this process was in contact with meanwhile had none either. A
-//! process that relays its outage may have been partitioned together with the peers it
-//! reached, so receivers accept the outage only for the time in which they had no
-//! answer themselves.
+//! Failed requests of this process alone are no evidence: it may be partitioned or
+//! rejected itself. An outage counts only if no answer is known for long enough and a
+//! peer had none either. One that a peer relays counts only for the time in which this
+//! process had no answer, since the peer may have been partitioned together with all
+//! that it reached.
 
 use std::time::Duration;
 
--- a/crates/stageyoke-directory/tests/groups_test.rs
+++ b/crates/stageyoke-directory/tests/groups_test.rs
@@ -1,4 +1,4 @@
-//! The store groups: how many there are, who is in them, and who fills a gap.
+//! Store groups: their number, their members, and which group a spare joins.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -33,22 +33,23 @@
     }
 }
 
-/// Stores, zones, machines and zones that may be lost; groups and their members.
+/// Arguments: stores, zones, tolerated machines and zones; number of groups and members
+/// in each.
 #[rstest]
-#[case::three_is_one_group(3, 3, 1, 0, Some((1, 3)))]
-#[case::four_too(4, 4, 1, 0, Some((1, 4)))]
-#[case::five_too(5, 5, 1, 0, Some((1, 5)))]
+#[case::three_stores_in_one_group(3, 3, 1, 0, Some((1, 3)))]
+#[case::four_stores_in_one_group(4, 4, 1, 0, Some((1, 4)))]
+#[case::five_stores_in_one_group(5, 5, 1, 0, Some((1, 5)))]
 #[case::two_groups_and_two_spares(8, 4, 1, 0, Some((2, 3)))]
 #[case::two_lost_disks(12, 6, 2, 0, Some((2, 5)))]
-#[case::seven_of_five_and_a_spare(36, 6, 2, 0, Some((7, 5)))]
-#[case::sixteen(84, 7, 2, 0, Some((16, 5)))]
+#[case::seven_groups_of_five_and_a_spare(36, 6, 2, 0, Some((7, 5)))]
+#[case::sixteen_groups_of_five(84, 7, 2, 0, Some((16, 5)))]
 #[case::a_lost_zone_of_three(21, 3, 1, 1, Some((7, 3)))]
 #[case::a_lost_zone_or_two_disks(21, 3, 2, 1, Some((4, 5)))]
-#[case::two_lost_zones_of_three_need_all(21, 3, 1, 2, Some((1, 21)))]
+#[case::two_lost_zones_of_three_need_all_stores(21, 3, 1, 2, Some((1, 21)))]
 #[case::two_lost_zones_of_five(20, 5, 1, 2, Some((4, 5)))]
-#[case::too_few_for_two_lost_disks(2, 2, 2, 0, None)]
-#[case::just_enough(3, 3, 2, 0, Some((1, 3)))]
-fn groups_are_as_large_as_the_losses_need(
+#[case::too_few_stores_for_two_lost_disks(2, 2, 2, 0, None)]
+#[case::just_enough_stores(3, 3, 2, 0, Some((1, 3)))]
+fn group_size_follows_from_the_tolerated_losses(
     #[case] stores: usize,
     #[case] zones: usize,
     #[case] machines: usize,
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn members_stand_in_as_many_zones_as_they_can() {
+fn members_are_spread_over_the_zones() {
     for (stores, zones) in [(12, 6), (36, 6), (10, 5), (20, 4)] {
         let formed = form(&registered(stores, zones), &tolerance(2, 0)).expect("groups");
         for group in formed.groups.iter() {
@@ -77,15 +78,15 @@
             for member in group.list.iter() {
                 *counts.entry(member.zone.as_str()).or_default() += 1;
             }
-            let most = counts.values().max().copied().unwrap_or_default();
-            assert!(most <= 5_usize.div_ceil(zones) + 1, "{counts:?}");
+            let max_count = counts.values().max().copied().unwrap_or_default();
+            assert!(max_count <= 5_usize.div_ceil(zones) + 1, "{counts:?}");
             assert!(counts.len() >= zones.min(5) - 1, "{counts:?}");
         }
     }
 }
 
 #[test]
-fn each_store_is_in_one_group_at_most_and_each_hash_in_one() {
+fn each_store_is_in_at_most_one_group_and_hashes_are_spread_evenly() {
     let formed = form(&registered(36, 6), &tolerance(2, 0)).expect("groups");
     let nodes: BTreeSet<&str> = formed
         .members()
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn a_change_of_one_group_leaves_the_others_alone() {
+fn changing_one_group_leaves_the_other_groups_unchanged() {
     let formed = form(&registered(12, 6), &tolerance(2, 0)).expect("groups");
     let first = GroupNumber(0);
     let members = formed.group(first).expect("group");
@@ -114,39 +115,47 @@
 }
 
 #[test]
-fn a_spare_goes_where_most_is_missing() {
+fn a_spare_joins_the_group_with_the_fewest_live_members() {
     let formed = form(&registered(36, 6), &tolerance(2, 0)).expect("groups");
     let members: Vec<Member> = formed.members().cloned().collect();
     let size = group_size(&tolerance(2, 0), &members).expect("size");
-    let in_need = |lost: &[&str], node: &str| {
+    let selected = |lost: &[&str], node: &str| {
         select_group_for_spare(&formed, size, node, |member| {
             !lost.contains(&member.node.as_str())
         })
     };
-    assert_eq!(in_need(&[], "spare"), None);
+    assert_eq!(selected(&[], "spare"), None);
     let second = &formed.groups[2].list;
     let fourth = &formed.groups[4].list;
-    let one = [second[0].node.as_str()];
-    assert_eq!(in_need(&one, "spare"), Some(GroupNumber(2)));
-    let three = [one[0], fourth[1].node.as_str(), fourth[3].node.as_str()];
-    assert_eq!(in_need(&three, "spare"), Some(GroupNumber(4)));
-    let even = [one[0], fourth[1].node.as_str()];
+    let one_lost = [second[0].node.as_str()];
+    assert_eq!(selected(&one_lost, "spare"), Some(GroupNumber(2)));
+    let three_lost = [
+        one_lost[0],
+        fourth[1].node.as_str(),
+        fourth[3].node.as_str(),
+    ];
+    assert_eq!(selected(&three_lost, "spare"), Some(GroupNumber(4)));
+    let one_lost_in_each = [one_lost[0], fourth[1].node.as_str()];
     let chosen: BTreeSet<_> = (0..20)
-        .map(|spare| in_need(&even, &format!("spare-{spare}")))
+        .map(|spare| selected(&one_lost_in_each, &format!("spare-{spare}")))
         .collect();
     assert_eq!(
         chosen.len(),
         2,
-        "spares spread over groups that lack as many"
+        "spares are spread over groups with equally many live members"
+    );
+    let single_group = form(&registered(4, 4), &tolerance(1, 0)).expect("one group");
+    let selected_in_single = select_group_for_spare(&single_group, 3, "spare", |_| true);
+    assert_eq!(
+        selected_in_single,
+        Some(GroupNumber(0)),
+        "one group takes every store"
     );
-    let single = form(&registered(4, 4), &tolerance(1, 0)).expect("one group");
-    let always = select_group_for_spare(&single, 3, "spare", |_| true);
-    assert_eq!(always, Some(GroupNumber(0)), "one group takes every store");
 }
 
-/// A store that was told to leave before the groups are formed is in none of them.
+/// A store that was ordered to leave before the groups are formed joins none of them.
 #[test]
-fn a_store_that_is_leaving_takes_no_part() {
+fn a_leaving_store_joins_no_group() {
     let mut registered = registered(13, 4);
     registered[5].state = MemberState::Leaving;
     let leaving = registered[5].node.clone();
--- a/crates/stageyoke-directory/tests/members_test.rs
+++ b/crates/stageyoke-directory/tests/members_test.rs
@@ -1,4 +1,4 @@
-//! Quorums of the member list, checked by counting over all subsets.
+//! Quorums of the member list, checked over all subsets of members.
 
 use std::collections::BTreeSet;
 
@@ -29,7 +29,7 @@
 #[case(5, 2, Some(3))]
 #[case(4, 2, Some(3))]
 #[case(0, 0, None)]
-fn write_quorum_is_a_majority_above_the_losses(
+fn write_quorum_is_a_majority_and_exceeds_the_losses(
     #[case] count: usize,
     #[case] losses: usize,
     #[case] expected: Option<usize>,
@@ -40,78 +40,82 @@
     );
 }
 
-/// All sets of members of a list of up to eight, each as whether a member is in it.
-fn sets(list: &Members) -> impl Iterator<Item = BTreeSet<Text>> {
+/// Returns all subsets of the list's members.
+fn subsets(list: &Members) -> impl Iterator<Item = BTreeSet<Text>> {
     let nodes: Vec<Text> = list.all().map(|member| member.node.clone()).collect();
     (0..1_u32 << nodes.len()).map(move |bits| {
         let members = nodes.iter().enumerate();
-        let chosen = members.filter(|(place, _)| bits >> place & 1 == 1);
-        chosen.map(|(_, node)| node.clone()).collect()
+        let selected = members.filter(|(position, _)| bits >> position & 1 == 1);
+        selected.map(|(_, node)| node.clone()).collect()
     })
 }
 
-/// The sets that are a write quorum of this list.
+/// Returns all subsets that are a write quorum of the list.
 fn write_quorums(list: &Members, tolerance: &Tolerance) -> Vec<BTreeSet<Text>> {
     let Some(quorums) = list.quorums(tolerance) else {
         return Vec::new();
     };
-    let reached =
+    let is_quorum =
         |set: &BTreeSet<Text>| list.has_quorum(quorums, |member| set.contains(&member.node));
-    sets(list).filter(reached).collect()
+    subsets(list).filter(is_quorum).collect()
 }
 
-/// A list of `before` members, of which the last `removed` give way to `added` new
-/// ones.
-fn changing(before: usize, removed: usize, added: usize) -> Members {
+/// Returns a list of `before` members with a pending change that replaces the last
+/// `removed` of them by `added` new ones.
+fn pending_change(before: usize, removed: usize, added: usize) -> Members {
     let list = members(before);
     let mut next: Vec<Member> = list.list.iter().take(before - removed).cloned().collect();
     next.extend(members(before + added).list.iter().skip(before).cloned());
     list.start_change(List(next))
 }
 
-/// Every change of up to four members into up to four others, with the tolerance.
-fn changes() -> impl Iterator<Item = (Members, Tolerance)> {
+/// Returns every change of lists of up to four members that adds up to three, for each
+/// tolerance.
+fn all_changes() -> impl Iterator<Item = (Members, Tolerance)> {
     let sizes = (1..5_usize).flat_map(|before| (0..=before).map(move |removed| (before, removed)));
     let sizes =
         sizes.flat_map(|(before, removed)| (0..4_usize).map(move |add| (before, removed, add)));
     sizes.flat_map(|(before, removed, added)| {
-        let list = changing(before, removed, added);
+        let list = pending_change(before, removed, added);
         (0..3_usize).map(move |losses| (list.clone(), Tolerance::of_machines(losses)))
     })
 }
 
-/// What is kept by one list is seen by whoever goes by the same list, by the one
-/// before or by the one after: their quorums share a member.
+/// A record stored under one list is found under the same, the previous and the next
+/// list: their quorums share a member.
 #[test]
-fn quorums_of_neighbouring_lists_intersect() {
-    for (during, tolerance) in changes() {
+fn quorums_of_consecutive_lists_intersect() {
+    for (during, tolerance) in all_changes() {
         let before = Members {
             list: during.before.clone(),
             ..Members::default()
         };
-        let change = write_quorums(&during, &tolerance);
-        let neighbours = [
+        let during_quorums = write_quorums(&during, &tolerance);
+        let consecutive = [
             before,
             during.settle_change(),
             during.abandon_change(),
             during.clone(),
         ];
-        for neighbour in neighbours {
-            for one in &change {
-                for other in write_quorums(&neighbour, &tolerance) {
-                    assert!(!one.is_disjoint(&other), "{during:?} {one:?} {other:?}");
+        for list in consecutive {
+            for first in &during_quorums {
+                for second in write_quorums(&list, &tolerance) {
+                    assert!(
+                        !first.is_disjoint(&second),
+                        "{during:?} {first:?} {second:?}"
+                    );
                 }
             }
         }
     }
 }
 
-/// Two disjoint quorums of lists that follow one another without a change in
-/// between are possible, so the change can't be left out.
+/// Quorums of consecutive lists can be disjoint without the joint configuration in
+/// between, so it cannot be left out.
 #[test]
-fn without_the_change_in_between_quorums_could_miss_each_other() {
+fn quorums_may_be_disjoint_without_a_joint_configuration() {
     let tolerance = Tolerance::of_machines(1);
-    let during = changing(3, 1, 1);
+    let during = pending_change(3, 1, 1);
     let old = write_quorums(&members(3), &tolerance);
     let new = write_quorums(&during.settle_change(), &tolerance);
     let disjoint = old
@@ -120,21 +124,20 @@
     assert!(disjoint);
 }
 
-/// A fence meets every quorum by which a record can have been kept before; and who
-/// is not part of it is no quorum of the list before, neither to keep a record nor
-/// to tell one as absent.
+/// A fence intersects every quorum that can have stored a record before, so that
+/// members outside it can neither store a record nor declare one absent.
 #[test]
-fn a_fence_ends_every_quorum_before() {
-    for (during, tolerance) in changes() {
+fn a_fence_intersects_every_previous_quorum() {
+    for (during, tolerance) in all_changes() {
         let before = Members {
             list: during.before.clone(),
             ..Members::default()
         };
         let old_quorums = write_quorums(&before, &tolerance);
-        for fence in sets(&during) {
-            let fences =
+        for fence in subsets(&during) {
+            let is_fence =
                 during.intersects_every_quorum(&tolerance, |member| fence.contains(&member.node));
-            if !fences {
+            if !is_fence {
                 continue;
             }
             for quorum in &old_quorums {
@@ -147,10 +150,10 @@
     }
 }
 
-/// As many disks as may be lost leave a fence, so that whatever is lost within the
-/// tolerance can be replaced; also in a group that can't serve then.
+/// After the loss of as many disks as the tolerance allows, the remaining members are a
+/// fence, so the lost ones can be replaced even in a group that cannot serve.
 #[test]
-fn what_may_be_lost_can_be_replaced() {
+fn tolerated_losses_can_be_replaced() {
     for count in 1..8_usize {
         for losses in 0..count {
             let list = members(count);
@@ -159,18 +162,18 @@
                 continue;
             }
             let during = list.start_change(list.list.clone());
-            let lost = |member: &Member| {
-                let place = list.list.iter().position(|one| one == member);
-                place.is_some_and(|place| place < losses)
+            let is_lost = |member: &Member| {
+                let position = list.list.iter().position(|listed| listed == member);
+                position.is_some_and(|position| position < losses)
             };
-            let fenced = during.intersects_every_quorum(&tolerance, |member| !lost(member));
+            let fenced = during.intersects_every_quorum(&tolerance, |member| !is_lost(member));
             assert!(fenced, "count {count} losses {losses}");
         }
     }
 }
 
 #[test]
-fn changes_raise_the_version_and_keep_the_order() {
+fn changes_increment_the_version_and_preserve_the_order() {
     let list = members(3);
     let moved = Member {
         address: Text::from("10.0.0.9:7000"),
@@ -190,25 +193,25 @@
     assert!(settled.is_settled() && settled.get("store-0").is_none());
 }
 
-/// A change under way gets another aim without losing sight of the members before,
-/// and a new address stands in both lists.
+/// Replacing the target of a pending change keeps the previous members, and a new
+/// address is applied to both lists.
 #[test]
-fn a_change_keeps_the_members_before_until_it_is_settled() {
-    let during = changing(3, 1, 1);
-    let again = during.start_change(during.list_without("store-3"));
-    assert_eq!(again.before, members(3).list);
-    assert_eq!(again.abandon_change().list, members(3).list);
+fn a_change_retains_the_previous_members_until_it_is_settled() {
+    let during = pending_change(3, 1, 1);
+    let retargeted = during.start_change(during.list_without("store-3"));
+    assert_eq!(retargeted.before, members(3).list);
+    assert_eq!(retargeted.abandon_change().list, members(3).list);
     let moved = Member {
         address: Text::from("10.0.0.9:7000"),
         ..during.list[0].clone()
     };
-    let told = during.with_member(moved.clone());
-    assert_eq!((&told.list[0], &told.before[0]), (&moved, &moved));
+    let updated = during.with_member(moved.clone());
+    assert_eq!((&updated.list[0], &updated.before[0]), (&moved, &moved));
 }
 
-/// Where a zone or a region may go, copies must stand outside it.
+/// A tolerated loss of zones or regions requires copies outside them.
 #[test]
-fn losing_the_largest_places_leaves_a_copy() {
+fn a_write_quorum_survives_the_loss_of_the_largest_zones_and_regions() {
     let mut list = Members::default();
     for (number, zone) in ["a", "a", "b", "b", "c"].iter().enumerate() {
         list = list.with_member(Member {
--- a/crates/stageyoke-directory/tests/mirror_test.rs
+++ b/crates/stageyoke-directory/tests/mirror_test.rs
@@ -13,7 +13,7 @@
     TransactionOutcome, WatchOutcome,
 };
 use stageyoke_types::Text;
-use support::Words;
+use support::TestInterpreter;
 
 #[derive(Default)]
 struct Script {
@@ -64,7 +64,7 @@
         }
         *self.0.ranges.borrow_mut() += 1;
         let items = self.0.items.borrow();
-        let rest: Vec<_> = items
+        let remaining: Vec<_> = items
             .iter()
             .filter(|(key, _)| after.is_none_or(|after| key.as_str() > after))
             .map(|(key, (value, revision))| Item {
@@ -74,8 +74,8 @@
             })
             .collect();
         Ok(RangePage {
-            more: rest.len() > 2,
-            items: rest.into_iter().take(2).collect(),
+            more: remaining.len() > 2,
+            items: remaining.into_iter().take(2).collect(),
             revision: *self.0.revision.borrow(),
         })
     }
@@ -100,20 +100,20 @@
     }
 }
 
-async fn play(
+async fn run_mirror(
     script: &Rc<Script>,
     watches: Vec<Result<WatchOutcome, KeyValueError>>,
     span: Duration,
-) -> (Mirror<Service, Words>, Vec<MirrorEvent>) {
+) -> (Mirror<Service, TestInterpreter>, Vec<MirrorEvent>) {
     script.watches.borrow_mut().extend(watches);
-    let mirror = Mirror::new(Service(script.clone()), Words);
+    let mirror = Mirror::new(Service(script.clone()), TestInterpreter);
     let mut events = Vec::new();
     let _ = tokio::time::timeout(span, mirror.run(|event| events.push(event))).await;
     (mirror, events)
 }
 
 #[tokio::test(start_paused = true)]
-async fn reads_all_pages_then_follows_changes() {
+async fn all_pages_are_read_before_changes_are_followed() {
     let script = Rc::new(Script::default());
     for id in ["a", "b", "c", "d", "e"] {
         script.put(&format!("replica/{id}"), "service");
@@ -125,20 +125,20 @@
         }],
         revision: 6,
     };
-    let (mirror, _) = play(&script, vec![Ok(removed)], Duration::from_secs(1)).await;
+    let (mirror, _) = run_mirror(&script, vec![Ok(removed)], Duration::from_secs(1)).await;
     let ids: Vec<String> = mirror.view().replicas.keys().map(Text::to_string).collect();
     assert_eq!(ids, ["a", "b", "d", "e"]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn forgotten_history_is_read_again_and_drops_what_left_meanwhile() {
+async fn lost_history_triggers_a_complete_read_that_drops_removed_replicas() {
     let script = Rc::new(Script::default());
     script.put("replica/a", "service");
     script.put("replica/b", "service");
-    let gone = script.clone();
-    let mirror = Mirror::new(Service(script.clone()), Words);
+    let service_script = script.clone();
+    let mirror = Mirror::new(Service(script.clone()), TestInterpreter);
     let _ = tokio::time::timeout(Duration::from_millis(50), mirror.run(|_| {})).await;
-    gone.items.borrow_mut().remove("replica/a");
+    service_script.items.borrow_mut().remove("replica/a");
     script
         .watches
         .borrow_mut()
@@ -149,7 +149,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_version_never_falls() {
+async fn the_configuration_version_never_decreases() {
     let script = Rc::new(Script::default());
     script.put("routes/all", "7");
     let older = Item {
@@ -161,12 +161,12 @@
         changes: vec![Change::Written(older)],
         revision: 9,
     };
-    let (mirror, _) = play(&script, vec![Ok(outcome)], Duration::from_secs(1)).await;
+    let (mirror, _) = run_mirror(&script, vec![Ok(outcome)], Duration::from_secs(1)).await;
     assert_eq!(mirror.view().routes.as_ref().expect("routes").version, 7);
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_outage_is_told_once_and_its_end_once() {
+async fn an_outage_and_its_end_are_reported_once_each() {
     let script = Rc::new(Script::default());
     script.put("replica/a", "service");
     let failures = vec![
@@ -174,43 +174,46 @@
         Err(KeyValueError::Refused),
         Err(KeyValueError::Throttled),
     ];
-    let (mirror, events) = play(&script, failures, Duration::from_secs(15)).await;
-    let lost = events
+    let (mirror, events) = run_mirror(&script, failures, Duration::from_secs(15)).await;
+    let outages = events
         .iter()
         .filter(|event| matches!(event, MirrorEvent::Lost(_)))
         .count();
-    let regained = events
+    let recoveries = events
         .iter()
         .filter(|event| matches!(event, MirrorEvent::Regained))
         .count();
-    assert_eq!((lost, regained), (1, 1));
-    assert_eq!(mirror.view().replicas.len(), 1, "the view stays meanwhile");
+    assert_eq!((outages, recoveries), (1, 1));
+    assert_eq!(
+        mirror.view().replicas.len(),
+        1,
+        "the view is retained during the outage"
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn concurrent_confirmations_share_a_read_that_began_after_them() {
+async fn concurrent_confirmations_share_a_read_that_started_after_them() {
     let script = Rc::new(Script::default());
     script.put("routes/all", "3");
-    let mirror = Mirror::new(Service(script.clone()), Words);
+    let mirror = Mirror::new(Service(script.clone()), TestInterpreter);
     let first = mirror.confirm_routes();
     let (one, two, three) = tokio::join!(first, mirror.confirm_routes(), mirror.confirm_routes());
     assert!(one.is_ok() && two.is_ok() && three.is_ok());
     assert_eq!(mirror.view().routes.as_ref().expect("routes").version, 3);
     assert!(
         *script.gets.borrow() <= 2,
-        "at most one more than the first"
+        "at most one read besides the first"
     );
     *script.down.borrow_mut() = true;
     assert!(mirror.confirm_routes().await.is_err());
 }
 
-/// A configuration must be in force within two seconds: a read confirms it for
-/// a quarter of that, and no longer.
+/// With a change bound of two seconds, a read confirms the routes for a quarter of it.
 #[tokio::test(start_paused = true)]
-async fn a_read_confirms_the_routes_for_a_part_of_the_bound() {
+async fn a_read_confirms_the_routes_for_a_fraction_of_the_bound() {
     let script = Rc::new(Script::default());
     script.put("routes/all", "3");
-    let mirror = Mirror::new(Service(script.clone()), Words);
+    let mirror = Mirror::new(Service(script.clone()), TestInterpreter);
     let mirror = mirror.with_change_bound(Duration::from_secs(2));
     for (pause, version, reads) in [(0, 3, 1), (400, 3, 1), (200, 4, 2)] {
         tokio::time::advance(Duration::from_millis(pause)).await;
--- a/crates/stageyoke-directory/tests/relay_test.rs
+++ b/crates/stageyoke-directory/tests/relay_test.rs
@@ -1,5 +1,5 @@
-//! A front's directory by way of a store's: it costs the service nothing, and is
-//! never older than the front's own would be.
+//! A front whose directory is relayed by a store must not call the service, and its
+//! copy must not get older than one from the service would.
 
 #[path = "support/service.rs"]
 mod service;
@@ -11,49 +11,46 @@
 
 use bytes::Bytes;
 use rstest::rstest;
-use service::{Link, Service};
+use service::{Service, ServiceClient};
 use stageyoke_directory::relay::RecentChanges;
 use stageyoke_directory::{
     Change, DirectoryRelay, DirectorySource, Item, Mirror, RelayFuture, RelayReply,
     RelayRequirements, RelayedChanges, RelayedItems, RelayedRoutes,
 };
-use support::Words;
+use support::TestInterpreter;
 use tokio::time::Instant;
 
-const BOUND: Duration = Duration::from_secs(2);
-const WAY: Duration = Duration::from_millis(3);
+const CHANGE_BOUND: Duration = Duration::from_secs(2);
+const ONE_WAY_DELAY: Duration = Duration::from_millis(3);
 
-type TestMirror = Mirror<Link, Words>;
+type TestMirror = Mirror<ServiceClient, TestInterpreter>;
 
-/// The way to a store.
-struct Way {
+/// Relay connection to a store.
+struct StoreConnection {
     store: Rc<TestMirror>,
     silent: Rc<Cell<bool>>,
 }
 
-impl Way {
-    /// Nobody answers while the way is silent; the caller's time runs out.
+impl StoreConnection {
+    /// Hangs until the caller's timeout while the connection is silent.
     async fn answer<T>(
         &self,
-        within: Duration,
-        told: impl FnOnce(&TestMirror) -> Option<T>,
+        answer_timeout: Duration,
+        relay: impl FnOnce(&TestMirror) -> Option<T>,
     ) -> Option<RelayReply<T>> {
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         if self.silent.get() {
-            tokio::time::sleep(within).await;
+            tokio::time::sleep(answer_timeout).await;
             return None;
         }
-        tokio::time::sleep(WAY).await;
-        let told = told(&self.store)?;
-        tokio::time::sleep(WAY).await;
-        Some(RelayReply {
-            payload: told,
-            sent_at: sent,
-        })
+        tokio::time::sleep(ONE_WAY_DELAY).await;
+        let payload = relay(&self.store)?;
+        tokio::time::sleep(ONE_WAY_DELAY).await;
+        Some(RelayReply { payload, sent_at })
     }
 }
 
-impl DirectoryRelay for Way {
+impl DirectoryRelay for StoreConnection {
     fn has_sources(&self) -> bool {
         true
     }
@@ -61,40 +58,37 @@
     fn fetch_changes(
         &self,
         after: u64,
-        acceptable: RelayRequirements,
+        requirements: RelayRequirements,
     ) -> RelayFuture<'_, RelayedChanges> {
-        Box::pin(self.answer(acceptable.answer_timeout, move |store| {
+        Box::pin(self.answer(requirements.answer_timeout, move |store| {
             store.relay_changes(after)
         }))
     }
 
-    fn fetch_routes(&self, within: Duration) -> RelayFuture<'_, RelayedRoutes> {
+    fn fetch_routes(&self, answer_timeout: Duration) -> RelayFuture<'_, RelayedRoutes> {
         Box::pin(async move {
-            let sent = Instant::now();
+            let sent_at = Instant::now();
             if self.silent.get() {
-                tokio::time::sleep(within).await;
+                tokio::time::sleep(answer_timeout).await;
                 return None;
             }
-            let reading = self.store.relay_routes();
-            let told = tokio::time::timeout(within, reading).await.ok()??;
-            Some(RelayReply {
-                payload: told,
-                sent_at: sent,
-            })
+            let pending = self.store.relay_routes();
+            let payload = tokio::time::timeout(answer_timeout, pending).await.ok()??;
+            Some(RelayReply { payload, sent_at })
         })
     }
 
-    fn fetch_items(&self, acceptable: RelayRequirements) -> RelayFuture<'_, RelayedItems> {
-        Box::pin(self.answer(acceptable.answer_timeout, |store| store.relay_items()))
+    fn fetch_items(&self, requirements: RelayRequirements) -> RelayFuture<'_, RelayedItems> {
+        Box::pin(self.answer(requirements.answer_timeout, |store| store.relay_items()))
     }
 }
 
-/// A front and a store, each with a link of its own to the service.
-struct Pair {
+/// A front and a store, each with its own connection to the service.
+struct FrontAndStore {
     front: Rc<TestMirror>,
     front_service: Rc<Service>,
     store_service: Rc<Service>,
-    way_silent: Rc<Cell<bool>>,
+    connection_silent: Rc<Cell<bool>>,
 }
 
 fn service() -> Rc<Service> {
@@ -103,26 +97,27 @@
     service
 }
 
-impl Pair {
+impl FrontAndStore {
     async fn start() -> Self {
         let (front_service, store_service) = (service(), service());
-        let store =
-            Mirror::with_item_cache(Link(store_service.clone()), Words).with_change_bound(BOUND);
+        let store = Mirror::with_item_cache(ServiceClient(store_service.clone()), TestInterpreter)
+            .with_change_bound(CHANGE_BOUND);
         let store = Rc::new(store);
         let following = store.clone();
         tokio::task::spawn_local(async move { following.run(|_| {}).await });
         tokio::time::sleep(Duration::from_millis(100)).await;
-        let way_silent = Rc::new(Cell::new(false));
-        let silent = way_silent.clone();
-        let front = Mirror::new(Link(front_service.clone()), Words).with_change_bound(BOUND);
-        let front = Rc::new(front.with_relay(Rc::new(Way { store, silent })));
+        let connection_silent = Rc::new(Cell::new(false));
+        let silent = connection_silent.clone();
+        let front = Mirror::new(ServiceClient(front_service.clone()), TestInterpreter)
+            .with_change_bound(CHANGE_BOUND);
+        let front = Rc::new(front.with_relay(Rc::new(StoreConnection { store, silent })));
         let following = front.clone();
         tokio::task::spawn_local(async move { following.run(|_| {}).await });
         Self {
             front,
             front_service,
             store_service,
-            way_silent,
+            connection_silent,
         }
     }
 
@@ -131,14 +126,14 @@
         self.store_service.version.set(version);
     }
 
-    /// Requests at a steady pace; none acts on a directory beyond the bound.
+    /// Sends requests at a steady rate; none may use a directory older than the bound.
     async fn use_for(&self, span: Duration) {
-        let until = Instant::now() + span;
+        let end = Instant::now() + span;
         let freshness = self.front.freshness();
-        while Instant::now() < until {
+        while Instant::now() < end {
             freshness.ensure_fresh().await;
             let age = freshness.age().unwrap_or_default();
-            assert!(age <= BOUND.mul_f64(0.9), "{age:?}");
+            assert!(age <= CHANGE_BOUND.mul_f64(0.9), "{age:?}");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -149,88 +144,99 @@
     }
 }
 
-async fn local(test: impl Future<Output = ()>) {
+async fn run_local(test: impl Future<Output = ()>) {
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_front_that_is_told_asks_the_service_nothing() {
-    local(async {
-        let pair = Pair::start().await;
+async fn a_front_with_a_relay_does_not_call_the_service() {
+    run_local(async {
+        let pair = FrontAndStore::start().await;
         for version in 2..12 {
             pair.use_for(Duration::from_millis(1_730)).await;
             pair.set_version(version);
-            pair.use_for(BOUND).await;
+            pair.use_for(CHANGE_BOUND).await;
             assert_eq!(pair.version(), version);
         }
-        assert_eq!(pair.front_service.asked.get(), 0);
+        assert_eq!(pair.front_service.call_count.get(), 0);
     })
     .await;
 }
 
-/// A front that nobody asks yet learns the configuration all the same: it is not
-/// ready before. On the quiet day of fbhs-warn two of eight fronts never were.
+/// A front without requests must receive the configuration too, since it is not ready
+/// without it.
 #[tokio::test(start_paused = true)]
-async fn an_idle_front_is_told_too() {
-    local(async {
-        let pair = Pair::start().await;
+async fn an_idle_front_receives_relayed_changes() {
+    run_local(async {
+        let pair = FrontAndStore::start().await;
         for version in 2..5 {
             pair.set_version(version);
-            tokio::time::sleep(BOUND * 2).await;
+            tokio::time::sleep(CHANGE_BOUND * 2).await;
             assert_eq!(pair.version(), version);
         }
-        pair.way_silent.set(true);
-        tokio::time::sleep(BOUND * 10).await;
-        assert_eq!(pair.front_service.asked.get(), 0, "nobody acts on it");
+        pair.connection_silent.set(true);
+        tokio::time::sleep(CHANGE_BOUND * 10).await;
+        assert_eq!(
+            pair.front_service.call_count.get(),
+            0,
+            "the directory is unused"
+        );
     })
     .await;
 }
 
-/// The service is silent towards the store, or the way to the store is: what the
-/// front is told gets old or does not come, and it asks the service itself.
+/// If the store or the connection to it is cut off, relayed copies get stale or stop,
+/// and the front must call the service itself.
 #[rstest]
-#[case::the_store_hears_nothing(true, false)]
-#[case::the_store_is_silent(false, true)]
+#[case::store_cut_off_from_the_service(true, false)]
+#[case::store_unreachable(false, true)]
 #[tokio::test(start_paused = true)]
-async fn a_front_that_is_told_too_little_asks_itself(
-    #[case] store_deaf: bool,
-    #[case] way_silent: bool,
+async fn a_front_falls_back_to_the_service_when_relayed_copies_are_stale(
+    #[case] store_cut_off: bool,
+    #[case] connection_silent: bool,
 ) {
-    local(async {
-        let pair = Pair::start().await;
+    run_local(async {
+        let pair = FrontAndStore::start().await;
         pair.use_for(Duration::from_millis(900)).await;
-        pair.store_service.silent.set(store_deaf);
-        pair.way_silent.set(way_silent);
-        pair.use_for(BOUND * 2).await;
+        pair.store_service.silent.set(store_cut_off);
+        pair.connection_silent.set(connection_silent);
+        pair.use_for(CHANGE_BOUND * 2).await;
         pair.set_version(2);
-        pair.use_for(BOUND).await;
+        pair.use_for(CHANGE_BOUND).await;
         assert_eq!(pair.version(), 2);
-        assert!(pair.front_service.asked.get() > 0);
+        assert!(pair.front_service.call_count.get() > 0);
     })
     .await;
 }
 
-/// An unknown route is confirmed by a store's read, and by the front's own where
-/// the store can't; never by one that began too long before.
+/// Routes are confirmed by a store's read, or by the front's own if the store cannot
+/// read; never by a read that started too long ago.
 #[rstest]
-#[case::by_the_store(false, false)]
-#[case::the_store_hears_nothing(true, false)]
-#[case::the_store_is_silent(false, true)]
+#[case::all_connected(false, false)]
+#[case::store_cut_off_from_the_service(true, false)]
+#[case::store_unreachable(false, true)]
 #[tokio::test(start_paused = true)]
-async fn routes_are_confirmed_by_whoever_can(#[case] store_deaf: bool, #[case] way_silent: bool) {
-    local(async {
-        let pair = Pair::start().await;
+async fn routes_are_confirmed_by_the_store_or_by_the_front(
+    #[case] store_cut_off: bool,
+    #[case] connection_silent: bool,
+) {
+    run_local(async {
+        let pair = FrontAndStore::start().await;
         pair.use_for(Duration::from_millis(300)).await;
-        pair.store_service.silent.set(store_deaf);
-        pair.way_silent.set(way_silent);
+        pair.store_service.silent.set(store_cut_off);
+        pair.connection_silent.set(connection_silent);
         for version in 2..6 {
             pair.set_version(version);
-            tokio::time::sleep(BOUND.mul_f64(0.3)).await;
+            tokio::time::sleep(CHANGE_BOUND.mul_f64(0.3)).await;
             pair.front.confirm_routes().await.expect("confirmed");
             assert_eq!(pair.version(), version);
         }
-        let own_reads = pair.front_service.asked.get();
-        assert_eq!(own_reads == 0, !store_deaf && !way_silent, "{own_reads}");
+        let own_reads = pair.front_service.call_count.get();
+        assert_eq!(
+            own_reads == 0,
+            !store_cut_off && !connection_silent,
+            "{own_reads}"
+        );
     })
     .await;
 }
@@ -243,9 +249,9 @@
     })
 }
 
-/// Kept changes have a bound; who has missed more reads everything.
+/// Cached changes are limited in size; a peer that has missed more reads everything.
 #[test]
-fn recent_changes_stay_within_their_bytes() {
+fn recent_changes_stay_within_their_size_limit() {
     let mut recent = RecentChanges::default();
     recent.reset(3);
     assert!(recent.changes_after(2).is_none());
--- a/crates/stageyoke-directory/tests/support/mod.rs
+++ b/crates/stageyoke-directory/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! The interpreter that the tests of the mirror share.
+//! Interpreter shared by the mirror tests.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 };
 use stageyoke_types::Text;
 
-/// Reads `replica/ID` and `routes/all`, whose value is the version.
-pub struct Words;
+/// Parses `replica/ID` and `routes/all`, whose value is the version.
+pub struct TestInterpreter;
 
-impl Interpreter for Words {
+impl Interpreter for TestInterpreter {
     fn interpret(&self, key: &str, value: Option<&Bytes>) -> Update {
         let text = value.and_then(|value| std::str::from_utf8(value).ok());
         match (key.split_once('/'), text) {
--- a/crates/stageyoke-directory/tests/support/service.rs
+++ b/crates/stageyoke-directory/tests/support/service.rs
@@ -1,4 +1,4 @@
-//! A service whose watches are dead: they neither answer nor end.
+//! Key-value service with dead watches: they neither answer nor end.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -10,27 +10,27 @@
     WatchOutcome,
 };
 
-const ANSWER: Duration = Duration::from_millis(4);
-const ROUTES: &str = "routes/all";
+const ANSWER_DELAY: Duration = Duration::from_millis(4);
+const ROUTES_KEY: &str = "routes/all";
 
-/// The service, with one item whose value is its version.
+/// A service with one item, whose value is its version.
 #[derive(Default)]
 pub struct Service {
     /// Version and revision of the item.
     pub version: Cell<u64>,
-    /// Whether it answers nobody.
+    /// Makes every call hang.
     pub silent: Cell<bool>,
-    /// Calls that it has seen.
-    pub asked: Cell<u32>,
-    /// How long the watches were to wait.
-    pub waits: RefCell<Vec<Duration>>,
+    /// Number of calls, without watches that wait.
+    pub call_count: Cell<u32>,
+    /// Wait times of all watches.
+    pub watch_waits: RefCell<Vec<Duration>>,
 }
 
 impl Service {
     async fn answer(&self) {
-        self.asked.set(self.asked.get() + 1);
+        self.call_count.set(self.call_count.get() + 1);
         let silent = self.silent.get();
-        tokio::time::sleep(ANSWER).await;
+        tokio::time::sleep(ANSWER_DELAY).await;
         if silent || self.silent.get() {
             std::future::pending::<()>().await;
         }
@@ -38,17 +38,17 @@
 
     fn item(&self) -> Item {
         Item {
-            key: ROUTES.to_owned(),
+            key: ROUTES_KEY.to_owned(),
             value: Bytes::from(self.version.get().to_string()),
             revision: self.version.get(),
         }
     }
 }
 
-/// The mirror's hold on the service.
-pub struct Link(pub Rc<Service>);
+/// Connection of a mirror to the service.
+pub struct ServiceClient(pub Rc<Service>);
 
-impl KeyValueService for Link {
+impl KeyValueService for ServiceClient {
     async fn get(&self, _: &str) -> Result<Option<Item>, KeyValueError> {
         self.0.answer().await;
         Ok(Some(self.0.item()))
@@ -69,7 +69,7 @@
         after: u64,
         wait: Duration,
     ) -> Result<WatchOutcome, KeyValueError> {
-        self.0.waits.borrow_mut().push(wait);
+        self.0.watch_waits.borrow_mut().push(wait);
         if !wait.is_zero() {
             std::future::pending::<()>().await;
         }
