--- a/crates/stageyoke-store/src/client.rs
+++ b/crates/stageyoke-store/src/client.rs
@@ -1,4 +1,4 @@
-//! A front's or a store's connection to one store.
+//! Client connection of a front or a store to one store.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -21,16 +21,17 @@
 use crate::socket;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-const RECONNECT_PAUSE: Duration = Duration::from_millis(60);
-/// A connection that owes an answer this long is given up.
-const SILENCE_LIMIT: Duration = Duration::from_millis(600);
+const RECONNECT_DELAY: Duration = Duration::from_millis(60);
+/// A connection is closed if nothing is received for this long while replies are
+/// outstanding.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Why a call has no reply.
+/// The reason why a call got no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// There is no connection; nothing was sent.
+    /// No connection could be opened; the request was not sent.
     NotConnected,
-    /// The connection ended or the time ran out; it may have been done.
+    /// The connection ended or the call timed out; the request may have been carried out.
     NoAnswer,
 }
 
@@ -45,88 +46,87 @@
 
 impl std::error::Error for CallError {}
 
-/// A reply with the fields behind it.
+/// A reply and its extension fields.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExtendedReply {
-    /// The reply.
+    /// The reply itself.
     pub reply: Reply,
-    /// What travelled behind it; nothing from a store that reads no fields.
+    /// Extension fields that follow the reply; empty if the store does not support them.
     pub extension_fields: ExtensionFields,
 }
 
-type Pending = Rc<RefCell<HashMap<u64, oneshot::Sender<ExtendedReply>>>>;
+type PendingCalls = Rc<RefCell<HashMap<u64, oneshot::Sender<ExtendedReply>>>>;
 
-struct Outgoing {
+struct Call {
     request: EncodedMessage,
-    extensions: Rc<ExtensionFields>,
-    answer: oneshot::Sender<ExtendedReply>,
+    extension_fields: Rc<ExtensionFields>,
+    reply_sender: oneshot::Sender<ExtendedReply>,
 }
 
-/// One store, with a connection that is opened when it is first needed.
+/// Client of one store. Connects on first use and reconnects as needed.
 pub struct StoreClient {
     address: String,
-    commands: UnboundedSender<Outgoing>,
+    calls: UnboundedSender<Call>,
     task: JoinHandle<()>,
 }
 
 impl StoreClient {
-    /// A client of the store at this address. Needs a local task set.
+    /// Creates a client for the store at this address. Must be called in a `LocalSet`.
     pub fn new(address: &str) -> Self {
-        let (commands, inbox) = unbounded_channel();
+        let (calls, queue) = unbounded_channel();
         let connection = Connection {
             address: address.to_owned(),
-            inbox,
-            last_heard: Rc::default(),
-            next_number: 0,
-            owing_since: Instant::now(),
+            queue,
+            last_received: Rc::default(),
+            last_number: 0,
+            outstanding_since: Instant::now(),
         };
         Self {
             address: address.to_owned(),
-            commands,
+            calls,
             task: tokio::task::spawn_local(connection.run()),
         }
     }
 
-    /// The store's address.
+    /// Returns the address of the store.
     pub fn address(&self) -> &str {
         &self.address
     }
 
-    /// Sends a request and waits for its reply.
-    pub async fn call(&self, request: Request, within: Duration) -> Result<Reply, CallError> {
-        self.call_encoded(EncodedMessage::encode(&request), within)
+    /// Sends a request and waits up to `call_timeout` for its reply.
+    pub async fn call(&self, request: Request, call_timeout: Duration) -> Result<Reply, CallError> {
+        self.call_encoded(EncodedMessage::encode(&request), call_timeout)
             .await
     }
 
-    /// Sends a request that was encoded before and waits for its reply.
+    /// Sends an encoded request and waits up to `call_timeout` for its reply.
     pub async fn call_encoded(
         &self,
         request: EncodedMessage,
-        within: Duration,
+        call_timeout: Duration,
     ) -> Result<Reply, CallError> {
-        let answer = self
-            .call_with_fields(request, Rc::default(), within)
+        let extended = self
+            .call_with_fields(request, Rc::default(), call_timeout)
             .await?;
-        Ok(answer.reply)
+        Ok(extended.reply)
     }
 
-    /// The same with fields behind the request, which a store that reads none is not sent.
+    /// Sends an encoded request with extension fields, which are left out if the store does
+    /// not support them, and waits up to `call_timeout` for its reply.
     pub async fn call_with_fields(
         &self,
         request: EncodedMessage,
-        extensions: Rc<ExtensionFields>,
-        within: Duration,
+        extension_fields: Rc<ExtensionFields>,
+        call_timeout: Duration,
     ) -> Result<ExtendedReply, CallError> {
-        let (answer, reply) = oneshot::channel();
-        let outgoing = Outgoing {
+        let (reply_sender, reply) = oneshot::channel();
+        let call = Call {
             request,
-            extensions,
-            answer,
+            extension_fields,
+            reply_sender,
         };
-        self.commands
-            .send(outgoing)
-            .map_err(|_| CallError::NotConnected)?;
-        match tokio::time::timeout(within, reply).await {
+        self.calls.send(call).map_err(|_| CallError::NotConnected)?;
+        match tokio::time::timeout(call_timeout, reply).await {
             Ok(Ok(reply)) => Ok(reply),
             Ok(Err(_)) | Err(_) => Err(CallError::NoAnswer),
         }
@@ -141,10 +141,10 @@
 
 struct Connection {
     address: String,
-    inbox: UnboundedReceiver<Outgoing>,
-    last_heard: Rc<Cell<Option<Instant>>>,
-    next_number: u64,
-    owing_since: Instant,
+    queue: UnboundedReceiver<Call>,
+    last_received: Rc<Cell<Option<Instant>>>,
+    last_number: u64,
+    outstanding_since: Instant,
 }
 
 struct AbortOnDrop(JoinHandle<()>);
@@ -157,54 +157,54 @@
 
 impl Connection {
     async fn run(mut self) {
-        while let Some(first) = self.inbox.recv().await {
+        while let Some(first_call) = self.queue.recv().await {
             let connecting = TcpStream::connect(self.address.as_str());
             match tokio::time::timeout(CONNECT_TIMEOUT, connecting).await {
-                Ok(Ok(stream)) => self.converse(stream, first).await,
+                Ok(Ok(stream)) => self.serve_connection(stream, first_call).await,
                 Ok(Err(_)) | Err(_) => {
-                    drop(first);
-                    self.fail_waiting();
-                    tokio::time::sleep(RECONNECT_PAUSE).await;
-                    self.fail_waiting();
+                    drop(first_call);
+                    self.fail_queued_calls();
+                    tokio::time::sleep(RECONNECT_DELAY).await;
+                    self.fail_queued_calls();
                 }
             }
         }
     }
 
-    fn fail_waiting(&mut self) {
-        while self.inbox.try_recv().is_ok() {}
+    fn fail_queued_calls(&mut self) {
+        while self.queue.try_recv().is_ok() {}
     }
 
-    async fn converse(&mut self, stream: TcpStream, first: Outgoing) {
+    async fn serve_connection(&mut self, stream: TcpStream, first_call: Call) {
         socket::configure(&stream);
         let (reader, writer) = stream.into_split();
-        let pending: Pending = Rc::default();
-        let (frames, outbox) = unbounded_channel();
-        let (ended, mut reader_ended) = oneshot::channel();
-        let _sending = AbortOnDrop(tokio::task::spawn_local(async move {
-            let _ = frame::write_queued_frames(writer, outbox).await;
+        let pending: PendingCalls = Rc::default();
+        let (frames, queued_frames) = unbounded_channel();
+        let (ended, mut receive_ended) = oneshot::channel();
+        let _send_task = AbortOnDrop(tokio::task::spawn_local(async move {
+            let _ = frame::write_queued_frames(writer, queued_frames).await;
         }));
-        let peer = Rc::new(PeerVersion::unknown(self.address.clone()));
+        let peer_version = Rc::new(PeerVersion::unknown(self.address.clone()));
         let receiving = receive(
             self.address.clone(),
             reader,
-            peer.clone(),
+            peer_version.clone(),
             pending.clone(),
-            self.last_heard.clone(),
+            self.last_received.clone(),
             ended,
         );
-        let _receiving = AbortOnDrop(tokio::task::spawn_local(receiving));
-        self.last_heard.set(Some(Instant::now()));
-        self.send(first, &peer, &pending, &frames);
+        let _receive_task = AbortOnDrop(tokio::task::spawn_local(receiving));
+        self.last_received.set(Some(Instant::now()));
+        self.send(first_call, &peer_version, &pending, &frames);
         loop {
-            let silence = self.silence_deadline(&pending);
+            let deadline = self.silence_deadline(&pending);
             tokio::select! {
-                next = self.inbox.recv() => match next {
-                    Some(outgoing) => self.send(outgoing, &peer, &pending, &frames),
+                next = self.queue.recv() => match next {
+                    Some(call) => self.send(call, &peer_version, &pending, &frames),
                     None => return,
                 },
-                _ = &mut reader_ended => return,
-                () = tokio::time::sleep_until(silence) => {
+                _ = &mut receive_ended => return,
+                () = tokio::time::sleep_until(deadline) => {
                     if self.silence_deadline(&pending) <= Instant::now() {
                         return;
                     }
@@ -213,33 +213,37 @@
         }
     }
 
-    /// When the connection is given up, if nothing is heard before.
-    fn silence_deadline(&self, pending: &Pending) -> Instant {
+    /// Returns when to close the connection unless something is received earlier.
+    fn silence_deadline(&self, pending: &PendingCalls) -> Instant {
         let now = Instant::now();
-        let heard = self.last_heard.get().unwrap_or(now).max(self.owing_since);
+        let received = self
+            .last_received
+            .get()
+            .unwrap_or(now)
+            .max(self.outstanding_since);
         if pending.borrow().is_empty() {
             return now + Duration::from_secs(3600);
         }
-        heard + SILENCE_LIMIT
+        received + SILENCE_TIMEOUT
     }
 
     fn send(
         &mut self,
-        outgoing: Outgoing,
-        peer: &PeerVersion,
-        pending: &Pending,
+        call: Call,
+        peer_version: &PeerVersion,
+        pending: &PendingCalls,
         frames: &UnboundedSender<Vec<u8>>,
     ) {
-        self.next_number += 1;
-        let mut waiting = pending.borrow_mut();
-        // Calls whose caller has gone are not waited for.
-        waiting.retain(|_, answer| !answer.is_closed());
-        if waiting.is_empty() {
-            self.owing_since = Instant::now();
+        self.last_number += 1;
+        let mut pending_calls = pending.borrow_mut();
+        // Drops calls whose caller no longer waits.
+        pending_calls.retain(|_, reply_sender| !reply_sender.is_closed());
+        if pending_calls.is_empty() {
+            self.outstanding_since = Instant::now();
         }
-        waiting.insert(self.next_number, outgoing.answer);
-        let extensions = peer.fields_for_next_message(&outgoing.extensions);
-        let frame = outgoing.request.frame(self.next_number, &extensions);
+        pending_calls.insert(self.last_number, call.reply_sender);
+        let extension_fields = peer_version.fields_for_next_message(&call.extension_fields);
+        let frame = call.request.frame(self.last_number, &extension_fields);
         let _ = frames.send(frame);
     }
 }
@@ -247,9 +251,9 @@
 async fn receive(
     address: String,
     reader: OwnedReadHalf,
-    peer: Rc<PeerVersion>,
-    pending: Pending,
-    last_heard: Rc<Cell<Option<Instant>>>,
+    peer_version: Rc<PeerVersion>,
+    pending: PendingCalls,
+    last_received: Rc<Cell<Option<Instant>>>,
     ended: oneshot::Sender<()>,
 ) {
     let mut reader = BufReader::new(reader);
@@ -258,10 +262,10 @@
             Ok(received) => received,
             Err(error) => break error,
         };
-        last_heard.set(Some(Instant::now()));
-        peer.record_greeting(&received.extension_fields);
-        if let Some(answer) = pending.borrow_mut().remove(&received.message.number) {
-            let _ = answer.send(ExtendedReply {
+        last_received.set(Some(Instant::now()));
+        peer_version.record_greeting(&received.extension_fields);
+        if let Some(reply_sender) = pending.borrow_mut().remove(&received.message.number) {
+            let _ = reply_sender.send(ExtendedReply {
                 reply: received.message.content,
                 extension_fields: received.extension_fields,
             });
--- a/crates/stageyoke-store/src/directory_relay.rs
+++ b/crates/stageyoke-store/src/directory_relay.rs
@@ -1,4 +1,5 @@
-//! The directory on its way from stores to fronts.
+//! Relay of the directory from stores to fronts, which then need not read it from the
+//! key-value service.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -15,17 +16,18 @@
 use crate::group_clients::GroupClients;
 use crate::message::{CopyFreshness, DirectoryChange, DirectoryItem, Reply, Request};
 
-/// Stores that are asked one after the other for one answer.
-const ASKED: usize = 3;
+/// Maximum number of stores that are asked for one reply.
+const MAX_STORES_ASKED: usize = 3;
 
-/// Part of the time for an answer in which a store may name others.
-const LEARN_PART: u32 = 4;
+/// Divisor of the total time limit that yields the limit for asking a seed store for the
+/// addresses of others.
+const STORE_LOOKUP_DIVISOR: u32 = 4;
 
-/// A store's answer to a question for changes.
-pub fn changes_reply(told: RelayedChanges) -> Reply {
-    let mark = mark(told.revision, told.age, told.lapsed_entry_grace);
-    let known = told.changes.is_some();
-    let changes = told.changes.unwrap_or_default();
+/// Builds the reply to a request for changes.
+pub fn changes_reply(relayed: RelayedChanges) -> Reply {
+    let mark = mark(relayed.revision, relayed.age, relayed.lapsed_entry_grace);
+    let known = relayed.changes.is_some();
+    let changes = relayed.changes.unwrap_or_default();
     Reply::Changes {
         known,
         changes: changes.into_iter().map(to_directory_change).collect(),
@@ -33,37 +35,37 @@
     }
 }
 
-/// A store's answer to a question for the configuration.
-pub fn routes_reply(told: RelayedRoutes) -> Reply {
+/// Builds the reply to a request for the routing configuration.
+pub fn routes_reply(relayed: RelayedRoutes) -> Reply {
     Reply::Routes {
-        item: to_directory_item(told.item),
-        age_milliseconds: rounded_up(told.age),
+        item: to_directory_item(relayed.item),
+        age_milliseconds: round_up_milliseconds(relayed.age),
     }
 }
 
-/// A store's answer to a question for everything.
-pub fn directory_reply(told: RelayedItems) -> Reply {
-    let mark = mark(told.revision, told.age, told.lapsed_entry_grace);
+/// Builds the reply to a request for the whole directory.
+pub fn directory_reply(relayed: RelayedItems) -> Reply {
+    let mark = mark(relayed.revision, relayed.age, relayed.lapsed_entry_grace);
     Reply::Directory {
-        items: told.items.into_iter().map(to_directory_item).collect(),
+        items: relayed.items.into_iter().map(to_directory_item).collect(),
         mark,
     }
 }
 
-fn mark(revision: u64, age: Duration, back_within: Duration) -> CopyFreshness {
+fn mark(revision: u64, age: Duration, lapsed_entry_grace: Duration) -> CopyFreshness {
     CopyFreshness {
         revision,
-        age_milliseconds: rounded_up(age),
-        back_within_milliseconds: back_within.as_millis() as u32,
+        age_milliseconds: round_up_milliseconds(age),
+        lapsed_entry_grace_milliseconds: lapsed_entry_grace.as_millis() as u32,
     }
 }
 
-/// Milliseconds, rounded up: a copy must not look younger than it is.
-fn rounded_up(age: Duration) -> u32 {
+/// Converts to milliseconds, rounded up so that a copy never appears younger than it is.
+fn round_up_milliseconds(age: Duration) -> u32 {
     u32::try_from(age.as_millis() + 1).unwrap_or(u32::MAX)
 }
 
-/// An item as stores keep and tell it.
+/// Converts an item of the directory to its form in messages and on disk.
 pub fn to_directory_item(item: Item) -> DirectoryItem {
     DirectoryItem {
         key: Text::from(item.key),
@@ -72,12 +74,12 @@
     }
 }
 
-/// An item that a store told.
-pub fn from_directory_item(seen: DirectoryItem) -> Item {
+/// Converts a received item to an item of the directory.
+pub fn from_directory_item(received: DirectoryItem) -> Item {
     Item {
-        key: seen.key.to_string(),
-        value: seen.value.0,
-        revision: seen.revision,
+        key: received.key.to_string(),
+        value: received.value.0,
+        revision: received.revision,
     }
 }
 
@@ -96,141 +98,153 @@
     }
 }
 
-fn from_directory_change(seen: DirectoryChange) -> Change {
-    let key = seen.key.to_string();
-    match seen.value {
+fn from_directory_change(received: DirectoryChange) -> Change {
+    let key = received.key.to_string();
+    match received.value {
         Some(value) => Change::Written(Item {
             key,
             value: value.0,
-            revision: seen.revision,
+            revision: received.revision,
         }),
         None => Change::Removed {
             key,
-            revision: seen.revision,
+            revision: received.revision,
         },
     }
 }
 
-fn back_within(mark: CopyFreshness) -> Duration {
-    Duration::from_millis(u64::from(mark.back_within_milliseconds))
+fn lapsed_entry_grace(mark: CopyFreshness) -> Duration {
+    Duration::from_millis(u64::from(mark.lapsed_entry_grace_milliseconds))
 }
 
 fn age(mark: CopyFreshness) -> Duration {
     Duration::from_millis(u64::from(mark.age_milliseconds))
 }
 
-/// The stores that a front asks: members of the groups; before it knows any, those
-/// that the stores which its settings name know. Settings name the same few stores to
-/// all fronts: were these asked for everything, they would send the whole directory to
-/// each front that starts, and its changes for as long as it runs (4.1 MB a second at
-/// 200 fronts, where the middle one of 100 stores sent 0.04).
+/// A front's connection to the stores that relay the directory.
+///
+/// Before the front knows the groups, it asks seed stores from its settings for the
+/// addresses of other stores and sends most requests to those. All fronts have the same few
+/// seeds, which would otherwise send the whole directory to each starting front and keep
+/// sending it the changes.
 pub struct StoreRelay {
     groups: Rc<GroupClients>,
-    seeds: Vec<String>,
-    /// Stores that those of the settings have named.
-    named: RefCell<Vec<Text>>,
+    seed_addresses: Vec<String>,
+    /// Addresses that the seed stores have returned.
+    known_addresses: RefCell<Vec<Text>>,
     /// The store that answered last, once the groups are known.
-    preferred: RefCell<Option<Rc<StoreClient>>>,
+    preferred_store: RefCell<Option<Rc<StoreClient>>>,
 }
 
 impl StoreRelay {
-    /// Asks members of these groups, or the stores at these addresses.
-    pub fn new(groups: Rc<GroupClients>, seeds: Vec<String>) -> Self {
+    /// Creates a relay that asks members of `groups`, or the stores at the addresses
+    /// `seed_addresses` until the groups are known.
+    pub fn new(groups: Rc<GroupClients>, seed_addresses: Vec<String>) -> Self {
         Self {
             groups,
-            seeds,
-            named: RefCell::default(),
-            preferred: RefCell::default(),
+            seed_addresses,
+            known_addresses: RefCell::default(),
+            preferred_store: RefCell::default(),
         }
     }
 
-    /// Also a copy that is too old shows until when its store had answers.
-    fn note_heard(&self, answer: &Result<Reply, CallError>, sent: Instant) {
-        let mark = match answer {
+    /// Records when the replying store last had contact with the key-value service, which
+    /// even an outdated copy shows.
+    fn record_peer_contact(&self, reply: &Result<Reply, CallError>, sent_at: Instant) {
+        let mark = match reply {
             Ok(Reply::Changes { mark, .. } | Reply::Directory { mark, .. }) => *mark,
             Ok(_) | Err(_) => return,
         };
-        let answered_at = sent.checked_sub(age(mark));
+        let answered_at = sent_at.checked_sub(age(mark));
         if let (Some(directory), Some(answered_at)) = (self.groups.directory(), answered_at) {
             directory.apply_peer_contact(answered_at);
         }
     }
 
-    /// Asks a store that the settings name which others there are.
-    async fn learn_stores(&self, within: Duration) {
-        let count = self.seeds.len();
+    /// Asks a random seed store for the addresses of other stores, unless the groups are
+    /// known.
+    async fn look_up_stores(&self, time_limit: Duration) {
+        let count = self.seed_addresses.len();
         if count == 0 || self.groups.stores().is_formed() {
             return;
         }
-        let client = StoreClient::new(&self.seeds[rand::random_range(0..count)]);
-        if let Ok(Reply::Stores(List(named))) = client.call(Request::Stores, within).await {
-            self.named.replace(named);
+        let client = StoreClient::new(&self.seed_addresses[rand::random_range(0..count)]);
+        if let Ok(Reply::Stores(List(known_addresses))) =
+            client.call(Request::Stores, time_limit).await
+        {
+            self.known_addresses.replace(known_addresses);
         }
     }
 
-    /// Stores to ask while the groups are not known: some that were named, and one of
-    /// the settings.
-    fn first_stores(&self) -> Vec<Rc<StoreClient>> {
-        let named = self.named.borrow();
-        let mut addresses: Vec<&str> = named.iter().map(Text::as_str).collect();
+    /// Selects stores to ask before the groups are known: some of those that the seeds
+    /// returned, and a seed.
+    fn bootstrap_stores(&self) -> Vec<Rc<StoreClient>> {
+        let known_addresses = self.known_addresses.borrow();
+        let mut addresses: Vec<&str> = known_addresses.iter().map(Text::as_str).collect();
         addresses.sort_by_cached_key(|_| rand::random::<u32>());
-        addresses.truncate(ASKED - 1);
-        let mut seeds: Vec<&str> = self.seeds.iter().map(String::as_str).collect();
-        seeds.sort_by_cached_key(|_| rand::random::<u32>());
-        addresses.extend(seeds.into_iter().take(ASKED - addresses.len()));
+        addresses.truncate(MAX_STORES_ASKED - 1);
+        let mut seed_addresses: Vec<&str> =
+            self.seed_addresses.iter().map(String::as_str).collect();
+        seed_addresses.sort_by_cached_key(|_| rand::random::<u32>());
+        addresses.extend(
+            seed_addresses
+                .into_iter()
+                .take(MAX_STORES_ASKED - addresses.len()),
+        );
         let clients = addresses.into_iter().map(StoreClient::new);
         clients.map(Rc::new).collect()
     }
 
-    /// Stores to ask: the one that answered last, one near, and others.
+    /// Selects stores to ask: the one that answered last, a near one and others.
     fn candidates(&self) -> Vec<Rc<StoreClient>> {
-        let clients = self.groups.sample_clients(ASKED);
+        let clients = self.groups.sample_clients(MAX_STORES_ASKED);
         if clients.is_empty() {
-            return self.first_stores();
+            return self.bootstrap_stores();
         }
-        let preferred = self.preferred.borrow().clone();
-        preferred.into_iter().chain(clients).collect()
+        let preferred_store = self.preferred_store.borrow().clone();
+        preferred_store.into_iter().chain(clients).collect()
     }
 
-    /// Asks stores until one has a copy that is young enough. One that has not
-    /// is asked no more before others: the service may have turned it away while
-    /// it serves them.
-    async fn ask(
+    /// Asks stores one by one until one has a recent enough copy. A store whose copy is too
+    /// old is no longer preferred: the key-value service may reject it while it serves
+    /// other stores.
+    async fn ask_stores(
         &self,
         request: Request,
-        acceptable: RelayRequirements,
+        requirements: RelayRequirements,
     ) -> Option<RelayReply<Reply>> {
         let RelayRequirements {
-            answer_timeout: within,
-            max_age: oldest,
-        } = acceptable;
-        let deadline = Instant::now() + within;
-        self.learn_stores(within / LEARN_PART).await;
+            answer_timeout,
+            max_age,
+        } = requirements;
+        let deadline = Instant::now() + answer_timeout;
+        self.look_up_stores(answer_timeout / STORE_LOOKUP_DIVISOR)
+            .await;
         let candidates = self.candidates();
-        let formed = self.groups.stores().is_formed();
-        let left = deadline.saturating_duration_since(Instant::now());
-        let share = left / u32::try_from(candidates.len().max(1)).unwrap_or(1);
+        let is_formed = self.groups.stores().is_formed();
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let per_store = remaining / u32::try_from(candidates.len().max(1)).unwrap_or(1);
         for client in candidates {
-            let sent = Instant::now();
-            let left = deadline.saturating_duration_since(sent).min(share);
-            let answer = client.call(request.clone(), left).await;
-            self.note_heard(&answer, sent);
-            match answer {
-                Ok(reply) if copy_age(&reply).is_some_and(|age| age < oldest) => {
-                    *self.preferred.borrow_mut() = formed.then_some(client);
+            let sent_at = Instant::now();
+            let remaining = deadline.saturating_duration_since(sent_at).min(per_store);
+            let reply = client.call(request.clone(), remaining).await;
+            self.record_peer_contact(&reply, sent_at);
+            match reply {
+                Ok(reply) if copy_age(&reply).is_some_and(|age| age < max_age) => {
+                    *self.preferred_store.borrow_mut() = is_formed.then_some(client);
                     return Some(RelayReply {
                         payload: reply,
-                        sent_at: sent,
+                        sent_at,
                     });
                 }
-                Ok(_) | Err(_) => *self.preferred.borrow_mut() = None,
+                Ok(_) | Err(_) => *self.preferred_store.borrow_mut() = None,
             }
         }
         None
     }
 }
 
-/// How old the copy was that a reply tells; `None` where it tells none.
+/// Returns the age of the copy in a reply; `None` if the reply contains none.
 fn copy_age(reply: &Reply) -> Option<Duration> {
     match reply {
         Reply::Changes { mark, .. } | Reply::Directory { mark, .. } => Some(age(*mark)),
@@ -243,87 +257,80 @@
 
 impl DirectoryRelay for StoreRelay {
     fn has_sources(&self) -> bool {
-        !self.seeds.is_empty() || self.groups.stores().is_formed()
+        !self.seed_addresses.is_empty() || self.groups.stores().is_formed()
     }
 
     fn fetch_changes(
         &self,
         after: u64,
-        acceptable: RelayRequirements,
+        requirements: RelayRequirements,
     ) -> RelayFuture<'_, RelayedChanges> {
         Box::pin(async move {
-            let relayed = self.ask(Request::Changes { after }, acceptable).await?;
+            let reply = self
+                .ask_stores(Request::Changes { after }, requirements)
+                .await?;
             let Reply::Changes {
                 known,
                 changes: List(changes),
                 mark,
-            } = relayed.payload
+            } = reply.payload
             else {
                 return None;
             };
             let changes = changes.into_iter().map(from_directory_change).collect();
-            let told = RelayedChanges {
+            let payload = RelayedChanges {
                 changes: known.then_some(changes),
                 revision: mark.revision,
                 age: age(mark),
-                lapsed_entry_grace: back_within(mark),
+                lapsed_entry_grace: lapsed_entry_grace(mark),
             };
-            let sent = relayed.sent_at;
-            Some(RelayReply {
-                payload: told,
-                sent_at: sent,
-            })
+            let sent_at = reply.sent_at;
+            Some(RelayReply { payload, sent_at })
         })
     }
 
-    fn fetch_routes(&self, within: Duration) -> RelayFuture<'_, RelayedRoutes> {
+    fn fetch_routes(&self, answer_timeout: Duration) -> RelayFuture<'_, RelayedRoutes> {
         Box::pin(async move {
-            // Whoever tells the configuration has read it for this question.
-            let acceptable = RelayRequirements {
-                answer_timeout: within,
+            // A store reads the configuration on each request, so its age needs no limit.
+            let requirements = RelayRequirements {
+                answer_timeout,
                 max_age: Duration::MAX,
             };
-            let relayed = self.ask(Request::Routes, acceptable).await?;
+            let reply = self.ask_stores(Request::Routes, requirements).await?;
             let Reply::Routes {
                 item,
                 age_milliseconds,
-            } = relayed.payload
+            } = reply.payload
             else {
                 return None;
             };
-            let told = RelayedRoutes {
+            let payload = RelayedRoutes {
                 item: from_directory_item(item),
                 age: Duration::from_millis(u64::from(age_milliseconds)),
             };
-            let sent = relayed.sent_at;
-            Some(RelayReply {
-                payload: told,
-                sent_at: sent,
-            })
+            let sent_at = reply.sent_at;
+            Some(RelayReply { payload, sent_at })
         })
     }
 
-    fn fetch_items(&self, acceptable: RelayRequirements) -> RelayFuture<'_, RelayedItems> {
+    fn fetch_items(&self, requirements: RelayRequirements) -> RelayFuture<'_, RelayedItems> {
         Box::pin(async move {
-            let relayed = self.ask(Request::Directory, acceptable).await?;
+            let reply = self.ask_stores(Request::Directory, requirements).await?;
             let Reply::Directory {
                 items: List(items),
                 mark,
-            } = relayed.payload
+            } = reply.payload
             else {
                 return None;
             };
-            let told = RelayedItems {
+            let payload = RelayedItems {
                 items: items.into_iter().map(from_directory_item).collect(),
                 revision: mark.revision,
                 age: age(mark),
-                lapsed_entry_grace: back_within(mark),
+                lapsed_entry_grace: lapsed_entry_grace(mark),
             };
-            let sent = relayed.sent_at;
-            Some(RelayReply {
-                payload: told,
-                sent_at: sent,
-            })
+            let sent_at = reply.sent_at;
+            Some(RelayReply { payload, sent_at })
         })
     }
 }
--- a/crates/stageyoke-store/src/disk_clock.rs
+++ b/crates/stageyoke-store/src/disk_clock.rs
@@ -1,27 +1,28 @@
-//! The clock of a store's disk: seconds that processes have run on it. It goes
-//! on over restarts, so that what is kept for a time does not begin that time
-//! anew at each of them. It never runs ahead of true time.
+//! Clock of a store's disk: the total time that store processes have run on it.
+//!
+//! The clock continues across restarts, so that retention periods do not start again. It
+//! never runs ahead of real time.
 
 use std::time::Instant;
 
-/// Seconds that processes have run on a disk, as far as the disk tells.
+/// The total running time of processes on a disk, as recorded on the disk.
 #[derive(Clone, Copy, Debug)]
 pub struct DiskClock {
-    base: u64,
+    recorded_seconds: u64,
     started: Instant,
 }
 
 impl DiskClock {
-    /// Goes on from the seconds that the disk tells.
-    pub fn resume_from(base: u64) -> Self {
+    /// Resumes from the seconds that are recorded on the disk.
+    pub fn resume_from(recorded_seconds: u64) -> Self {
         Self {
-            base,
+            recorded_seconds,
             started: Instant::now(),
         }
     }
 
-    /// Seconds now.
+    /// Returns the current reading in seconds.
     pub fn seconds(&self) -> u64 {
-        self.base + self.started.elapsed().as_secs()
+        self.recorded_seconds + self.started.elapsed().as_secs()
     }
 }
--- a/crates/stageyoke-store/src/extension.rs
+++ b/crates/stageyoke-store/src/extension.rs
@@ -1,84 +1,86 @@
-//! Fields behind a frozen message. The messages of version 1 never change: builds run
-//! side by side while machines are replaced. Their reader takes a message from the start
-//! of a frame and leaves what stands behind it, so new content goes there, each field
-//! with a tag and a length, and a reader skips the tags that it doesn't know.
+//! Extension fields after a message, and protocol versions.
 //!
-//! Both ends of a connection tell their version with their first message. Other fields go
-//! only to a peer that has told one.
+//! Messages of version 1 never change, so that builds of different versions can run side by
+//! side during an upgrade. Readers of version 1 ignore the bytes after a message, so newer
+//! content goes there as fields with a tag and a length. Readers skip fields with unknown
+//! tags.
+//!
+//! Both ends of a connection send their version with their first message. Other fields are
+//! only sent to a peer whose version supports them.
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
 use stageyoke_types::{Blob, List, Text};
 
 use crate::message::LatencyEntry;
 
-/// The version of a peer that tells none.
+/// Version of a peer that sends none.
 pub const FIRST_VERSION: u16 = 1;
-/// The version that this build speaks: it reads fields behind messages.
+/// Version of this build, which supports extension fields.
 pub const VERSION: u16 = 2;
 
-/// The build, for its first line and for operators.
+/// Describes the build in the startup event.
 pub fn describe_build() -> String {
     format!("build={} speaks={VERSION}", env!("CARGO_PKG_VERSION"))
 }
 
-/// Tags are never used again for other content.
+/// Field tags; a tag must never be reused for other content.
 const VERSION_TAG: u8 = 1;
 const RANK_LOADS_TAG: u8 = 2;
 const PROGRAM_TAG: u8 = 3;
 const STARTED_TAG: u8 = 4;
 const FRONT_TAG: u8 = 5;
 const ENGINE_LATENCIES_TAG: u8 = 6;
-const DEVIATIONS_TAG: u8 = 7;
+const ENGINE_DEVIATIONS_TAG: u8 = 7;
 
-/// One field as it stands behind a message.
+/// An encoded field.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
-struct Field {
+struct EncodedField {
     tag: u8,
     content: Blob,
 }
 
-/// Turns under way at a service's engines, of one rank.
+/// Turns of one rank in flight at a service's engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct RankLoad {
     /// Hash of the service's name.
     pub service: u32,
-    /// Their rank; 0 is the most urgent.
+    /// Rank of the turns; 0 is the most urgent.
     pub rank: u8,
-    /// Turns.
+    /// Number of turns in flight.
     pub in_flight: u16,
 }
 
-/// How far an engine lies from the middle of all.
+/// Deviation of an engine's latency from the median of all engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct Deviation {
     /// Hash of the replica's identifier.
     pub replica: u32,
-    /// Hundredths of the logarithm of its time against the middle.
+    /// Logarithm of the engine's latency over the median, in hundredths.
     pub log_ratio: i16,
 }
 
-/// What travels behind a message.
+/// The extension fields of one message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ExtensionFields {
-    /// The sender's version; told in the first message of a connection.
+    /// Version of the sender; sent with the first message of a connection.
     pub version: Option<u16>,
-    /// Behind an append: what this front has under way. Behind the answers to
-    /// reservations and to questions after programs: what all other fronts have.
+    /// After an append: turns that the sending front has in flight. After the replies to
+    /// reservations and to program queries: turns that all other fronts have in flight.
     pub rank_loads: Option<List<RankLoad>>,
-    /// Behind a ping: has any turn of this program begun?
+    /// After a ping: the program whose start is queried.
     pub program: Option<Text>,
-    /// Behind the answer to it.
+    /// After the reply to such a ping: whether any turn of the program has started.
     pub started: Option<bool>,
-    /// Behind a ping: the asking front's number, as in its reports.
+    /// After a ping: identifier of the sending front, as in its load reports.
     pub front: Option<u32>,
-    /// Behind an append: times of turns at engines since the group was told last.
+    /// After an append: engine latencies measured since the last report to this group.
     pub engine_latencies: Option<List<LatencyEntry>>,
-    /// Behind an answer: engines by what all fronts have told.
+    /// After a reply: deviations of engines, computed from the reports of all fronts.
     pub engine_deviations: Option<List<Deviation>>,
 }
 
 impl ExtensionFields {
-    /// The greeting: this build's version.
+    /// Returns the fields for the first message of a connection.
     pub fn greeting() -> Self {
         Self {
             version: Some(VERSION),
@@ -86,46 +88,50 @@
         }
     }
 
-    /// Appends the fields that there are.
+    /// Appends the encoded fields that are set.
     pub fn encode(&self, output: &mut Vec<u8>) {
-        append(VERSION_TAG, self.version.as_ref(), output);
-        append(RANK_LOADS_TAG, self.rank_loads.as_ref(), output);
-        append(PROGRAM_TAG, self.program.as_ref(), output);
-        append(STARTED_TAG, self.started.as_ref(), output);
-        append(FRONT_TAG, self.front.as_ref(), output);
-        append(ENGINE_LATENCIES_TAG, self.engine_latencies.as_ref(), output);
-        append(DEVIATIONS_TAG, self.engine_deviations.as_ref(), output);
+        encode_field(VERSION_TAG, self.version.as_ref(), output);
+        encode_field(RANK_LOADS_TAG, self.rank_loads.as_ref(), output);
+        encode_field(PROGRAM_TAG, self.program.as_ref(), output);
+        encode_field(STARTED_TAG, self.started.as_ref(), output);
+        encode_field(FRONT_TAG, self.front.as_ref(), output);
+        encode_field(ENGINE_LATENCIES_TAG, self.engine_latencies.as_ref(), output);
+        encode_field(
+            ENGINE_DEVIATIONS_TAG,
+            self.engine_deviations.as_ref(),
+            output,
+        );
     }
 
-    /// Reads all fields to the end; those with an unknown tag are skipped.
+    /// Decodes all fields up to the end of the frame, skipping those with unknown tags.
     pub fn decode(mut offset: usize, bytes: &[u8]) -> Result<Self, DeBinErr> {
-        let mut extensions = Self::default();
+        let mut fields = Self::default();
         while offset < bytes.len() {
-            let field = Field::de_bin(&mut offset, bytes)?;
+            let field = EncodedField::de_bin(&mut offset, bytes)?;
             let content = &field.content;
             match field.tag {
-                VERSION_TAG => extensions.version = Some(DeBin::deserialize_bin(content)?),
-                RANK_LOADS_TAG => extensions.rank_loads = Some(DeBin::deserialize_bin(content)?),
-                PROGRAM_TAG => extensions.program = Some(DeBin::deserialize_bin(content)?),
-                STARTED_TAG => extensions.started = Some(DeBin::deserialize_bin(content)?),
-                FRONT_TAG => extensions.front = Some(DeBin::deserialize_bin(content)?),
+                VERSION_TAG => fields.version = Some(DeBin::deserialize_bin(content)?),
+                RANK_LOADS_TAG => fields.rank_loads = Some(DeBin::deserialize_bin(content)?),
+                PROGRAM_TAG => fields.program = Some(DeBin::deserialize_bin(content)?),
+                STARTED_TAG => fields.started = Some(DeBin::deserialize_bin(content)?),
+                FRONT_TAG => fields.front = Some(DeBin::deserialize_bin(content)?),
                 ENGINE_LATENCIES_TAG => {
-                    extensions.engine_latencies = Some(DeBin::deserialize_bin(content)?);
+                    fields.engine_latencies = Some(DeBin::deserialize_bin(content)?);
                 }
-                DEVIATIONS_TAG => {
-                    extensions.engine_deviations = Some(DeBin::deserialize_bin(content)?)
+                ENGINE_DEVIATIONS_TAG => {
+                    fields.engine_deviations = Some(DeBin::deserialize_bin(content)?)
                 }
                 _ => {}
             }
         }
-        Ok(extensions)
+        Ok(fields)
     }
 }
 
-fn append<T: SerBin>(tag: u8, value: Option<&T>, output: &mut Vec<u8>) {
+fn encode_field<T: SerBin>(tag: u8, value: Option<&T>, output: &mut Vec<u8>) {
     let Some(value) = value else {
         return;
     };
     let content = Blob::from(value.serialize_bin());
-    Field { tag, content }.ser_bin(output);
+    EncodedField { tag, content }.ser_bin(output);
 }
--- a/crates/stageyoke-store/src/frame.rs
+++ b/crates/stageyoke-store/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames on a connection: a length, a binary message, and the fields behind it.
+//! Frames of a connection: a length, a binary message and its extension fields.
 
 use std::io;
 use std::rc::Rc;
@@ -13,102 +13,102 @@
 use crate::message::Numbered;
 
 const LENGTH_BYTES: usize = 4;
-/// Room for the fields that most frames carry: a frame that outgrew its memory would take
-/// twice as much.
-const FIELDS_ROOM: usize = 64;
-/// Longest frame accepted.
+/// Capacity reserved for extension fields, which fits those of most frames; growing the
+/// buffer would double it.
+const EXTENSION_FIELDS_CAPACITY: usize = 64;
+/// Largest accepted frame.
 pub const MAX_FRAME_BYTES: usize = 32 * 1024 * 1024;
 
-/// Encodes one message as a frame.
+/// Encodes a message as a frame without extension fields.
 pub fn encode<T: SerBin>(message: &T) -> Vec<u8> {
     encode_with_fields(message, &ExtensionFields::default())
 }
 
-/// Encodes one message as a frame, with fields behind it.
-pub fn encode_with_fields<T: SerBin>(message: &T, extensions: &ExtensionFields) -> Vec<u8> {
+/// Encodes a message and its extension fields as a frame.
+pub fn encode_with_fields<T: SerBin>(message: &T, extension_fields: &ExtensionFields) -> Vec<u8> {
     let mut bytes = vec![0_u8; LENGTH_BYTES];
     message.ser_bin(&mut bytes);
-    extensions.encode(&mut bytes);
-    note_length(&mut bytes);
+    extension_fields.encode(&mut bytes);
+    write_length_prefix(&mut bytes);
     bytes
 }
 
-fn note_length(frame: &mut [u8]) {
+fn write_length_prefix(frame: &mut [u8]) {
     let length = (frame.len() - LENGTH_BYTES) as u32;
     frame[..LENGTH_BYTES].copy_from_slice(&length.to_le_bytes());
 }
 
-/// A message's content, encoded once for several connections.
+/// An encoded message that can be sent on multiple connections.
 #[derive(Clone, Debug)]
 pub struct EncodedMessage(Rc<[u8]>);
 
 impl EncodedMessage {
-    /// Encodes the content.
+    /// Encodes a message.
     pub fn encode<T: SerBin>(content: &T) -> Self {
         Self(content.serialize_bin().into())
     }
 
-    /// The frame of this content under a number, with fields behind it.
-    pub fn frame(&self, number: u64, extensions: &ExtensionFields) -> Vec<u8> {
-        let message = LENGTH_BYTES + size_of::<u64>() + self.0.len();
-        let mut bytes = Vec::with_capacity(message + FIELDS_ROOM);
+    /// Builds the frame of this message with a number and extension fields.
+    pub fn frame(&self, number: u64, extension_fields: &ExtensionFields) -> Vec<u8> {
+        let message_bytes = LENGTH_BYTES + size_of::<u64>() + self.0.len();
+        let mut bytes = Vec::with_capacity(message_bytes + EXTENSION_FIELDS_CAPACITY);
         bytes.extend_from_slice(&[0; LENGTH_BYTES]);
         number.ser_bin(&mut bytes);
         bytes.extend_from_slice(&self.0);
-        extensions.encode(&mut bytes);
-        note_length(&mut bytes);
+        extension_fields.encode(&mut bytes);
+        write_length_prefix(&mut bytes);
         bytes
     }
 }
 
-/// A message with the fields behind it.
+/// A received message and its extension fields.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Received<T> {
-    /// The message.
+    /// The numbered message.
     pub message: Numbered<T>,
-    /// What travelled behind it.
+    /// Extension fields that follow the message.
     pub extension_fields: ExtensionFields,
 }
 
-/// Writes what waits, all of it in one go. What holds a frame's bytes is dropped
-/// once they are written.
+/// Writes queued frames, as many as are waiting in one call. Each frame is dropped once it
+/// is written.
 pub async fn write_queued_frames<T: AsRef<[u8]>>(
     mut writer: impl AsyncWrite + Unpin,
-    mut outbox: UnboundedReceiver<T>,
+    mut frames: UnboundedReceiver<T>,
 ) -> io::Result<()> {
-    while let Some(first) = outbox.recv().await {
-        let mut waiting = vec![first];
-        while let Ok(more) = outbox.try_recv() {
-            waiting.push(more);
+    while let Some(first) = frames.recv().await {
+        let mut queued = vec![first];
+        while let Ok(next) = frames.try_recv() {
+            queued.push(next);
         }
-        match waiting.as_slice() {
-            [only] => writer.write_all(only.as_ref()).await?,
-            several => {
-                let frames: Vec<&[u8]> = several.iter().map(AsRef::as_ref).collect();
-                writer.write_all(&frames.concat()).await?;
+        match queued.as_slice() {
+            [single] => writer.write_all(single.as_ref()).await?,
+            multiple => {
+                let slices: Vec<&[u8]> = multiple.iter().map(AsRef::as_ref).collect();
+                writer.write_all(&slices.concat()).await?;
             }
         }
     }
     Ok(())
 }
 
-/// Reads one frame, and leaves what stands behind its message.
+/// Reads one frame and ignores its extension fields.
 pub async fn read<T: DeBin>(stream: &mut (impl AsyncRead + Unpin)) -> io::Result<T> {
     let content = read_content(stream).await?;
     T::deserialize_bin(&content).map_err(|_| malformed())
 }
 
-/// Reads one frame with the fields behind its message.
+/// Reads one frame and its extension fields.
 pub async fn read_with_fields<T: DeBin>(
     stream: &mut (impl AsyncRead + Unpin),
 ) -> io::Result<Received<T>> {
     let content = read_content(stream).await?;
     let mut offset = 0;
     let message = Numbered::de_bin(&mut offset, &content).map_err(|_| malformed())?;
-    let extensions = ExtensionFields::decode(offset, &content).map_err(|_| malformed())?;
+    let extension_fields = ExtensionFields::decode(offset, &content).map_err(|_| malformed())?;
     Ok(Received {
         message,
-        extension_fields: extensions,
+        extension_fields,
     })
 }
 
@@ -131,7 +131,7 @@
     io::Error::new(io::ErrorKind::InvalidData, "malformed frame")
 }
 
-/// Says why a connection with a peer ends, if what came from it could not be read.
+/// Logs why a connection to a peer ends if the received data was invalid.
 pub fn log_read_error(peer: &str, error: &io::Error) {
     if error.kind() == io::ErrorKind::InvalidData {
         let detail = format!("peer={peer} reason={error}");
--- a/crates/stageyoke-store/src/journal.rs
+++ b/crates/stageyoke-store/src/journal.rs
@@ -1,5 +1,5 @@
-//! The thread that writes and syncs: what waits is written together and synced
-//! once. Answers come back in the order of the appends.
+//! Thread that writes and syncs the journal. Waiting appends are written together and
+//! synced once; results are delivered in the order of the appends.
 
 use std::fs::File;
 use std::io::{self, Write};
@@ -19,20 +19,20 @@
 use crate::message::{DirectoryItem, Record};
 use crate::segment::{DataFolder, RecordLocation, encode_clock, encode_record};
 
-/// A segment is closed beyond this size, where the settings name no other.
+/// Size at which a segment is closed if the settings specify none.
 pub const DEFAULT_SEGMENT_BYTES: u64 = 4 * 1024 * 1024;
-/// A segment is closed after so long: its successor tells the disk's clock, and
-/// a restart loses no more than this of it.
-const SEGMENT_SECONDS: u64 = 10;
-/// Bytes written together at most.
-const BATCH_BYTES: usize = 1024 * 1024;
+/// Age at which a segment is closed. The next one records the disk's clock, so a restart
+/// sets the clock back by no more than this.
+const MAX_SEGMENT_AGE_SECONDS: u64 = 10;
+/// Size at which no more appends are added to a batch.
+const MAX_BATCH_BYTES: usize = 1024 * 1024;
 
-/// An append's result.
+/// The result of an append.
 #[derive(Debug)]
 pub struct AppendResult {
-    /// Ticket that the caller gave.
+    /// Ticket that the caller passed to `append`.
     pub ticket: u64,
-    /// Where the record lies, or `None` if the disk refused it.
+    /// Location of the record; `None` if the disk did not accept it.
     pub location: Option<RecordLocation>,
 }
 
@@ -44,27 +44,27 @@
     Complete(Completeness),
 }
 
-/// Sends work to the writing thread.
+/// Handle to the writer thread.
 #[derive(Clone, Debug)]
 pub struct Journal {
     commands: mpsc::Sender<Command>,
-    stores_saved: Arc<AtomicU64>,
+    saved_stores_version: Arc<AtomicU64>,
 }
 
 impl Journal {
-    /// Starts the thread. Appends go to a new segment with this number; a
-    /// segment is closed beyond `segment_bytes`, or after some seconds.
+    /// Starts the writer thread. Appends go to a new segment with this number; a segment is
+    /// closed once it exceeds `segment_bytes` or a maximum age.
     pub fn start(
         folder: DataFolder,
         next_segment: u64,
         segment_bytes: u64,
         clock: DiskClock,
     ) -> io::Result<(Self, UnboundedReceiver<Vec<AppendResult>>)> {
-        let (commands, inbox) = mpsc::channel();
-        let (results, outbox) = unbounded_channel();
-        let stores_saved = Arc::new(AtomicU64::new(0));
+        let (commands, receiver) = mpsc::channel();
+        let (results, result_receiver) = unbounded_channel();
+        let saved_stores_version = Arc::new(AtomicU64::new(0));
         let writer = Writer {
-            stores_saved: stores_saved.clone(),
+            saved_stores_version: saved_stores_version.clone(),
             folder,
             next_segment,
             segment_bytes,
@@ -75,22 +75,22 @@
         std::thread::Builder::new()
             .name("journal".to_owned())
             .stack_size(256 * 1024)
-            .spawn(move || writer.run(&inbox))?;
+            .spawn(move || writer.run(&receiver))?;
         let journal = Self {
             commands,
-            stores_saved,
+            saved_stores_version,
         };
-        Ok((journal, outbox))
+        Ok((journal, result_receiver))
     }
 
-    /// Writes a record; the result carries the ticket. Returns the bytes that
-    /// wait for the disk until then.
+    /// Queues a record for writing; the result carries the ticket. Returns the encoded
+    /// size, which counts as backlog until the result arrives.
     pub fn append(&self, ticket: u64, record: &Record) -> usize {
         let mut bytes = Vec::new();
         encode_record(record, &mut bytes);
-        let waiting = bytes.len();
+        let encoded_bytes = bytes.len();
         let _ = self.commands.send(Command::Append { ticket, bytes });
-        waiting
+        encoded_bytes
     }
 
     /// Removes a segment whose records are no longer needed.
@@ -98,23 +98,22 @@
         let _ = self.commands.send(Command::Remove { segment });
     }
 
-    /// The newest version of the store groups that this life of the process has put on
-    /// the disk.
+    /// Returns the newest version of the store groups that this process has saved to disk.
     pub fn saved_stores_version(&self) -> u64 {
-        self.stores_saved.load(Ordering::Acquire)
+        self.saved_stores_version.load(Ordering::Acquire)
     }
 
-    /// Keeps the store groups.
+    /// Saves the store groups.
     pub fn save_stores(&self, stores: &StoreGroups) {
         let _ = self.commands.send(Command::Stores(stores.clone()));
     }
 
-    /// Keeps the items of the key-value service.
+    /// Saves the items of the key-value service.
     pub fn save_items(&self, items: List<DirectoryItem>) {
         let _ = self.commands.send(Command::Items(items));
     }
 
-    /// Marks what the disk is complete for.
+    /// Saves the group for which the disk is complete.
     pub fn mark_complete(&self, completeness: Completeness) {
         let _ = self.commands.send(Command::Complete(completeness));
     }
@@ -124,17 +123,17 @@
     number: u64,
     file: File,
     bytes: u64,
-    began: u64,
+    started_at: u64,
 }
 
-/// A record in a batch.
+/// Ticket and size of one record in a batch.
 struct BatchEntry {
     ticket: u64,
     length: usize,
 }
 
 struct Writer {
-    stores_saved: Arc<AtomicU64>,
+    saved_stores_version: Arc<AtomicU64>,
     folder: DataFolder,
     next_segment: u64,
     segment_bytes: u64,
@@ -144,8 +143,8 @@
 }
 
 impl Writer {
-    fn run(mut self, inbox: &mpsc::Receiver<Command>) {
-        while let Ok(first) = inbox.recv() {
+    fn run(mut self, commands: &mpsc::Receiver<Command>) {
+        while let Ok(first) = commands.recv() {
             let mut next = Some(first);
             let mut entries = Vec::new();
             let mut bytes = Vec::new();
@@ -159,10 +158,10 @@
                         entries.push(BatchEntry { ticket, length });
                         bytes.extend_from_slice(&record);
                     }
-                    other => self.housekeeping(other),
+                    command => self.run_maintenance(command),
                 }
-                next = (bytes.len() < BATCH_BYTES)
-                    .then(|| inbox.try_recv().ok())
+                next = (bytes.len() < MAX_BATCH_BYTES)
+                    .then(|| commands.try_recv().ok())
                     .flatten();
             }
             if !entries.is_empty() {
@@ -171,7 +170,7 @@
         }
     }
 
-    fn housekeeping(&self, command: Command) {
+    fn run_maintenance(&self, command: Command) {
         let outcome = match command {
             Command::Remove { segment } => self.folder.remove_segment(segment),
             Command::Stores(stores) => self.save_stores(&stores),
@@ -180,21 +179,22 @@
             Command::Append { .. } => Ok(()),
         };
         if let Err(error) = outcome {
-            // What was to be kept is known to the process; only its next life may lack it.
+            // The process still has the data in memory; it is only missing after a restart.
             observe::event(Event::DiskRefuses, &format!("housekeeping error={error}"));
         }
     }
 
     fn save_stores(&self, stores: &StoreGroups) -> io::Result<()> {
         self.folder.save_stores(stores)?;
-        self.stores_saved.store(stores.version, Ordering::Release);
+        self.saved_stores_version
+            .store(stores.version, Ordering::Release);
         Ok(())
     }
 
     fn write_batch(&mut self, entries: &[BatchEntry], bytes: &[u8]) {
         let written = self.write(bytes).ok();
         if written.is_none() {
-            // What was written of the batch may be torn: nothing may follow it.
+            // The batch may be partly written, so nothing may be appended to this segment.
             self.current = None;
         }
         let mut next = written;
@@ -202,47 +202,47 @@
             .iter()
             .map(|entry| AppendResult {
                 ticket: entry.ticket,
-                location: next.as_mut().map(|next| next.take(entry.length)),
+                location: next.as_mut().map(|next| next.advance(entry.length)),
             })
             .collect();
         let _ = self.results.send(appended);
     }
 
-    /// Starts a segment with the disk's clock.
+    /// Creates a segment that starts with a reading of the disk's clock.
     fn start_segment(&mut self) -> io::Result<Segment> {
         let number = self.next_segment;
         self.next_segment += 1;
-        let began = self.clock.seconds();
+        let started_at = self.clock.seconds();
         let mut file = self.folder.create_segment(number)?;
         let mut bytes = Vec::new();
-        encode_clock(began, &mut bytes);
+        encode_clock(started_at, &mut bytes);
         file.write_all(&bytes)?;
         Ok(Segment {
             number,
             file,
             bytes: bytes.len() as u64,
-            began,
+            started_at,
         })
     }
 
-    /// Writes and syncs; returns where the bytes begin.
-    fn write(&mut self, bytes: &[u8]) -> io::Result<NextPlace> {
+    /// Writes and syncs the bytes of a batch; returns where they start.
+    fn write(&mut self, bytes: &[u8]) -> io::Result<NextLocation> {
         let current = self.current.take().filter(|segment| {
-            let old = self.clock.seconds() >= segment.began + SEGMENT_SECONDS;
-            segment.bytes <= self.segment_bytes && !old
+            let is_old = self.clock.seconds() >= segment.started_at + MAX_SEGMENT_AGE_SECONDS;
+            segment.bytes <= self.segment_bytes && !is_old
         });
         let mut segment = match current {
             Some(segment) => segment,
             None => self.start_segment()?,
         };
-        let start = NextPlace {
+        let start = NextLocation {
             segment: u32::try_from(segment.number).map_err(|_| io::ErrorKind::InvalidData)?,
             offset: u32::try_from(segment.bytes).map_err(|_| io::ErrorKind::FileTooLarge)?,
         };
-        let began = Instant::now();
+        let sync_started = Instant::now();
         segment.file.write_all(bytes)?;
         segment.file.sync_data()?;
-        let seconds = began.elapsed().as_secs_f64();
+        let seconds = sync_started.elapsed().as_secs_f64();
         stageyoke_observe::metrics().sync_seconds.observe(seconds);
         segment.bytes += bytes.len() as u64;
         self.current = Some(segment);
@@ -250,20 +250,20 @@
     }
 }
 
-/// Where the next record of a batch lies.
-struct NextPlace {
+/// Location of the next record of a batch.
+struct NextLocation {
     segment: u32,
     offset: u32,
 }
 
-impl NextPlace {
-    fn take(&mut self, length: usize) -> RecordLocation {
-        let place = RecordLocation {
+impl NextLocation {
+    fn advance(&mut self, length: usize) -> RecordLocation {
+        let location = RecordLocation {
             segment: self.segment,
             offset: self.offset,
             length: length as u32,
         };
-        self.offset += place.length;
-        place
+        self.offset += location.length;
+        location
     }
 }
--- a/crates/stageyoke-store/src/keys.rs
+++ b/crates/stageyoke-store/src/keys.rs
@@ -1,18 +1,17 @@
-//! Short keys for identifiers in memory and on the wire. Identifiers are chosen
-//! by callers: whoever reads a record by such a key compares the identifier in
-//! it as well.
+//! Short keys that stand for identifiers in memory and on the wire. Callers choose the
+//! identifiers, so whoever reads a record by its key must also compare the identifier.
 
-/// Key of a turn, by its identifier.
+/// Key of a turn: a hash of its identifier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TurnKey(pub u64);
 
-/// Key of a program, by its identifier. Nothing holds the identifier to compare
-/// it with, hence the length.
+/// Key of a program: a hash of its identifier. No identifier is stored to compare it with,
+/// so the key is long enough to rule out collisions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ProgramKey(pub u128);
 
 impl TurnKey {
-    /// The key of this turn.
+    /// Returns the key of a turn.
     pub fn of(turn: &str) -> Self {
         let digest = blake3::hash(turn.as_bytes());
         let mut bytes = [0; 8];
@@ -22,7 +21,7 @@
 }
 
 impl ProgramKey {
-    /// The key of this program.
+    /// Returns the key of a program.
     pub fn of(program: &str) -> Self {
         let digest = blake3::hash(program.as_bytes());
         let mut bytes = [0; 16];
--- a/crates/stageyoke-store/src/lib.rs
+++ b/crates/stageyoke-store/src/lib.rs
@@ -1,11 +1,11 @@
-//! The store role: immutable records of finished turns and of budget
-//! reservations, each kept on a write quorum of small disks.
+//! The store role: immutable records of finished turns and of budget reservations, each
+//! stored on a write quorum of small disks.
 //!
-//! Stores stand in groups, and a program's records in one of them. There is no
-//! leader. A front writes a record to every member of the group and counts it
-//! as kept once a write quorum has synced it; a reservation's answers carry
-//! what each member knows of the program, so that of two racing turns at least
-//! one sees the other. Members compare digests and fetch what they miss.
+//! Stores form groups without a leader, and each program belongs to one group. A front
+//! writes a record to every member of the group; the record is durable once a write quorum
+//! has synced it. The replies to a reservation contain what each member knows of the
+//! program, so that of two racing turns at least one sees the other. Members compare
+//! digests of their records and fetch the missing ones.
 
 pub mod client;
 pub mod completeness;
--- a/crates/stageyoke-store/src/local_store.rs
+++ b/crates/stageyoke-store/src/local_store.rs
@@ -1,4 +1,4 @@
-//! A store's state with its journal, shared by the tasks of the process.
+//! The local store: its state, journal and membership, shared by the tasks of the process.
 
 mod peer_reports;
 mod requests;
@@ -18,7 +18,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use self::peer_reports::Heard;
+use self::peer_reports::ReceivedReports;
 pub use self::peer_reports::SilentSince;
 pub use self::requests::RequestedFields;
 use crate::completeness::Completeness;
@@ -32,14 +32,14 @@
 use crate::segment::{DataFolder, Recovered, SegmentUsage};
 use crate::state::StoreState;
 
-/// A record on its way to the disk, and who waits for it.
-struct Submitted {
+/// A record that is being written, and the callers that wait for it.
+struct PendingWrite {
     record: Record,
     bytes: usize,
-    waiting: Vec<oneshot::Sender<bool>>,
+    waiters: Vec<oneshot::Sender<bool>>,
 }
 
-/// A store's state with its journal; shared by the tasks of the process.
+/// State, journal and membership of this process's store.
 pub struct LocalStore {
     /// Machine name of this store.
     pub node: Text,
@@ -49,48 +49,48 @@
     journal: Journal,
     reader: RecordReader,
     clock: DiskClock,
-    waiting_bytes: Cell<usize>,
-    expiring: Cell<bool>,
-    submitted: RefCell<HashMap<u64, Submitted>>,
+    backlog_bytes: Cell<usize>,
+    is_expiring: Cell<bool>,
+    pending_writes: RefCell<HashMap<u64, PendingWrite>>,
     tickets: RefCell<HashMap<RecordDigest, u64>>,
     segments: RefCell<VecDeque<SegmentUsage>>,
     next_ticket: Cell<u64>,
-    disk_refuses: Cell<bool>,
-    standing: RefCell<MembershipState>,
-    /// Version of the store groups that the disk held at the start.
-    stores_recovered: u64,
-    heard: Heard,
+    disk_rejects_writes: Cell<bool>,
+    membership: RefCell<MembershipState>,
+    /// Version of the store groups that was on disk when the process started.
+    recovered_stores_version: u64,
+    received_reports: ReceivedReports,
     members_since: Cell<Instant>,
-    items: RefCell<List<DirectoryItem>>,
+    directory_items: RefCell<List<DirectoryItem>>,
     loads: LoadReports,
-    placed: RefCell<PlacedTurns>,
+    placed_turns: RefCell<PlacedTurns>,
     quotas: RefCell<QuotaLedger>,
-    /// Addresses of the stores that have registered.
-    registered: RefCell<List<Text>>,
-    started: Instant,
-    held_by_peers: RefCell<HashMap<Text, JournalPosition>>,
+    /// Addresses of the registered stores.
+    registered_addresses: RefCell<List<Text>>,
+    started_at: Instant,
+    positions_held_by_peers: RefCell<HashMap<Text, JournalPosition>>,
     directory: Rc<Freshness>,
-    source: RefCell<Option<Rc<dyn DirectorySource>>>,
+    directory_source: RefCell<Option<Rc<dyn DirectorySource>>>,
 }
 
 impl LocalStore {
-    /// Goes on from what a start found; the second part are the journal's
-    /// results, to be given to `collect`.
+    /// Opens the store from recovered data. The second part of the result must be passed to
+    /// `process_journal_results`.
     pub fn open(
         node: Text,
         folder: DataFolder,
         recovered: Recovered,
         limits: StoreLimits,
     ) -> io::Result<(Self, UnboundedReceiver<Vec<AppendResult>>)> {
-        let clock = DiskClock::resume_from(recovered.clock);
+        let clock = DiskClock::resume_from(recovered.clock_seconds);
         let reader = RecordReader::start(folder.clone())?;
         let next_segment = recovered.next_segment();
         let (journal, results) = Journal::start(folder, next_segment, limits.segment_bytes, clock)?;
         let mut state = recovered.state;
         state.set_recent_bytes(limits.recent_bytes);
         let stores = recovered.stores.unwrap_or_default();
-        let stores_recovered = stores.version;
-        let standing = MembershipState::new(node.clone(), stores, recovered.completeness);
+        let recovered_stores_version = stores.version;
+        let membership = MembershipState::new(node.clone(), stores, recovered.completeness);
         let local_store = Self {
             node,
             disk: recovered.disk,
@@ -99,31 +99,31 @@
             journal,
             reader,
             clock,
-            waiting_bytes: Cell::new(0),
-            expiring: Cell::new(false),
-            submitted: RefCell::default(),
+            backlog_bytes: Cell::new(0),
+            is_expiring: Cell::new(false),
+            pending_writes: RefCell::default(),
             tickets: RefCell::default(),
             segments: RefCell::new(recovered.segments.into()),
             next_ticket: Cell::new(0),
-            disk_refuses: Cell::new(false),
-            standing: RefCell::new(standing),
-            stores_recovered,
-            heard: Heard::default(),
+            disk_rejects_writes: Cell::new(false),
+            membership: RefCell::new(membership),
+            recovered_stores_version,
+            received_reports: ReceivedReports::default(),
             members_since: Cell::new(Instant::now()),
-            items: RefCell::default(),
+            directory_items: RefCell::default(),
             loads: LoadReports::default(),
-            placed: RefCell::default(),
+            placed_turns: RefCell::default(),
             quotas: RefCell::default(),
-            registered: RefCell::default(),
-            started: Instant::now(),
-            held_by_peers: RefCell::default(),
+            registered_addresses: RefCell::default(),
+            started_at: Instant::now(),
+            positions_held_by_peers: RefCell::default(),
             directory: Rc::new(Freshness::new(AgeLimits::default(), false)),
-            source: RefCell::default(),
+            directory_source: RefCell::default(),
         };
         Ok((local_store, results))
     }
 
-    /// The same, where the operator tolerates so much beyond tenants' limits.
+    /// Sets by how much tenants may exceed their limits.
     pub fn with_quota_tolerance(self, tolerance: QuotaTolerance) -> Self {
         let quotas = self.quotas.take().with_tolerance(tolerance);
         let quotas = quotas.with_incarnation(rand::random());
@@ -131,215 +131,217 @@
         self
     }
 
-    /// The same store, telling fronts how fresh this directory is.
+    /// Sets the freshness of this store's directory, which replies report.
     pub fn with_directory_freshness(self, directory: Rc<Freshness>) -> Self {
         Self { directory, ..self }
     }
 
-    /// Identity of the disk.
+    /// Returns the identity of the disk.
     pub fn disk(&self) -> u64 {
         self.disk
     }
 
-    /// Whether the list that this store goes by names its disk, if it names the store. By
-    /// an older one answers of a disk that was lost may still be counted.
+    /// Returns whether the member list in use names this store's disk, if it names the
+    /// store at all. Under an older list, replies from a lost disk may still be counted.
     pub fn is_listed_with_current_disk(&self) -> bool {
         let members = self.members();
         let own = members.get(&self.node);
         own.is_none_or(|own| own.disk == self.disk)
     }
 
-    /// Whether the store groups in use are on the disk, so that a list that was told to
-    /// a peer is not forgotten: the fence of a change counts on it.
+    /// Returns whether the store groups in use are on disk. The fence of a member change
+    /// relies on no store forgetting a list that it reported to a peer.
     pub fn has_saved_stores(&self) -> bool {
         let saved = self
             .journal
             .saved_stores_version()
-            .max(self.stores_recovered);
+            .max(self.recovered_stores_version);
         saved >= self.stores().version
     }
 
-    /// Puts the store groups on the disk if it refused them before.
+    /// Saves the store groups again if the disk did not accept them before.
     pub fn retry_saving_stores(&self) {
         if !self.has_saved_stores() {
             self.journal.save_stores(&self.stores());
         }
     }
 
-    /// Whether this store holds everything that it ever acknowledged as a
-    /// member of its group; before there are groups, of any.
+    /// Returns whether this store holds every record that it ever acknowledged as a member
+    /// of its group, or of any group before the groups are formed.
     pub fn is_complete(&self) -> bool {
-        self.standing.borrow().is_complete()
+        self.membership.borrow().is_complete()
     }
 
-    /// Declares the store complete for its group, for this life and the next.
+    /// Declares the store complete for its group and saves that to disk.
     pub fn declare_complete(&self) {
-        let mark = self.standing.borrow_mut().declare_complete();
-        self.mark_complete(mark);
+        let completeness = self.membership.borrow_mut().declare_complete();
+        self.save_completeness(completeness);
     }
 
-    fn mark_complete(&self, mark: Option<Completeness>) {
-        if let Some(completeness) = mark {
+    fn save_completeness(&self, completeness: Option<Completeness>) {
+        if let Some(completeness) = completeness {
             self.journal.mark_complete(completeness);
         }
     }
 
-    /// The store groups that this store goes by.
+    /// Returns the store groups in use.
     pub fn stores(&self) -> Rc<StoreGroups> {
-        self.standing.borrow().stores()
+        self.membership.borrow().stores()
     }
 
-    /// The group that this store is a member of, or fills up for.
+    /// Returns the group that this store belongs to or is being backfilled for.
     pub fn group(&self) -> Option<GroupNumber> {
-        self.standing.borrow().group()
+        self.membership.borrow().group()
     }
 
-    /// The member list of that group; empty where there is none.
+    /// Returns the member list of that group; empty if there is none.
     pub fn members(&self) -> Members {
-        self.standing.borrow().members()
+        self.membership.borrow().members()
     }
 
-    /// Since when that list has been in use here.
+    /// Returns when the current member list was applied.
     pub fn members_since(&self) -> Instant {
         self.members_since.get()
     }
 
-    /// These stores have registered.
+    /// Sets the addresses of the registered stores.
     pub fn set_registered_addresses(&self, addresses: List<Text>) {
-        self.registered.replace(addresses);
+        self.registered_addresses.replace(addresses);
     }
 
-    /// Takes newer store groups.
+    /// Applies newer store groups.
     pub fn set_stores(&self, stores: Rc<StoreGroups>) {
         let before = self.members();
-        if !self.standing.borrow_mut().update_stores(stores) {
+        if !self.membership.borrow_mut().update_stores(stores) {
             return;
         }
         self.journal.save_stores(&self.stores());
-        self.follow_members(&before);
-        let mark = self.standing.borrow_mut().resolve_completeness();
-        self.mark_complete(mark);
+        self.apply_members_change(&before);
+        let completeness = self.membership.borrow_mut().resolve_completeness();
+        self.save_completeness(completeness);
     }
 
-    /// A store that is no member of any group fills up for this one.
+    /// Selects the group for which a spare store is backfilled.
     pub fn backfill_for(&self, group: Option<GroupNumber>) {
         let before = self.members();
-        self.standing.borrow_mut().backfill_for(group);
-        self.follow_members(&before);
+        self.membership.borrow_mut().backfill_for(group);
+        self.apply_members_change(&before);
     }
 
-    fn follow_members(&self, before: &Members) {
+    fn apply_members_change(&self, before: &Members) {
         let members = self.members();
         if members == *before {
             return;
         }
         self.members_since.set(Instant::now());
-        let now = self.started.elapsed();
+        let now = self.started_at.elapsed();
         self.quotas.borrow_mut().handle_owner_change(now);
-        let mut held_by_peers = self.held_by_peers.borrow_mut();
-        held_by_peers.retain(|node, _| members.get(node).is_some());
+        let mut positions_held_by_peers = self.positions_held_by_peers.borrow_mut();
+        positions_held_by_peers.retain(|node, _| members.get(node).is_some());
     }
 
-    /// Takes the items of the key-value service, to hand them to fronts that
-    /// start while it is down; `keep` also puts them on the disk.
-    pub fn set_directory_items(&self, items: List<DirectoryItem>, keep: bool) {
-        if keep && items != *self.items.borrow() {
+    /// Sets the items of the key-value service, which are sent to fronts that start during
+    /// a service outage. If `save` is set, also saves them to disk.
+    pub fn set_directory_items(&self, items: List<DirectoryItem>, save: bool) {
+        if save && items != *self.directory_items.borrow() {
             self.journal.save_items(items.clone());
         }
-        *self.items.borrow_mut() = items;
+        *self.directory_items.borrow_mut() = items;
     }
 
-    /// Another store told how fresh its directory is, in answer to a message
-    /// that was sent at `sent`.
+    /// Applies the directory mark in another store's reply to a message that was sent at
+    /// `sent`.
     pub fn apply_directory_mark(&self, mark: DirectoryMark, sent: Instant) {
         self.directory.apply_peer_mark(mark, sent);
     }
 
-    /// The directory that this store tells others of.
+    /// Sets the directory that is relayed to fronts.
     pub fn set_directory_source(&self, source: Rc<dyn DirectorySource>) {
-        *self.source.borrow_mut() = Some(source);
+        *self.directory_source.borrow_mut() = Some(source);
     }
 
-    /// Position at the end of the journal.
+    /// Returns the position after the last record of the journal.
     pub fn journal_end(&self) -> JournalPosition {
         self.state.borrow().journal_end()
     }
 
-    /// Up to where a peer holds this journal on its own disk.
+    /// Returns the position up to which a peer holds this journal on its own disk.
     pub fn held_by(&self, node: &str) -> JournalPosition {
-        self.held_by_peers
+        self.positions_held_by_peers
             .borrow()
             .get(node)
             .copied()
             .unwrap_or_default()
     }
 
-    /// Whether a record is held.
+    /// Returns whether a record is stored.
     pub fn holds(&self, digest: u64) -> bool {
         self.state.borrow().holds(digest)
     }
 
-    /// Writes a record unless it is held or on its way: callers repeat what a
-    /// slow disk has not answered yet. True once it is on the disk; false also
-    /// where the memory takes no more.
+    /// Stores a record and returns whether it is on disk. A record that is already stored
+    /// or being written is not written again, since callers retry while the disk is slow.
+    /// Returns `false` if the disk does not accept the record or memory is full.
     pub async fn store_record(&self, record: Record) -> bool {
         let digest = record.digest();
         if self.holds(digest) {
             return true;
         }
-        if self.no_room_below(self.limits.state_bytes).is_some() {
+        if self.refusal_at(self.limits.state_bytes).is_some() {
             return false;
         }
-        let (done, result) = oneshot::channel();
-        let under_way = self.tickets.borrow().get(&digest).copied();
-        let ticket = under_way.unwrap_or_else(|| self.submit(record));
-        if let Some(submitted) = self.submitted.borrow_mut().get_mut(&ticket) {
-            submitted.waiting.push(done);
+        let (waiter, result) = oneshot::channel();
+        let existing_ticket = self.tickets.borrow().get(&digest).copied();
+        let ticket = existing_ticket.unwrap_or_else(|| self.submit(record));
+        if let Some(pending_write) = self.pending_writes.borrow_mut().get_mut(&ticket) {
+            pending_write.waiters.push(waiter);
         }
         result.await.unwrap_or(false)
     }
 
-    /// Estimated bytes of memory of the index and of the newest turns.
+    /// Estimates the memory used by the index and the cache of the newest turns, in bytes.
     pub fn memory_bytes(&self) -> usize {
         self.state.borrow().memory_bytes()
     }
 
-    /// Why nothing more is taken where the index may have so many bytes.
-    fn no_room_below(&self, state_bytes: usize) -> Option<Refusal> {
+    /// Returns why no record can be accepted if the state may use `state_bytes`.
+    fn refusal_at(&self, state_bytes: usize) -> Option<Refusal> {
         if self.memory_bytes() >= state_bytes {
             return Some(Refusal::MemoryFull);
         }
-        let backlog_is_full = self.waiting_bytes.get() >= self.limits.backlog_bytes;
+        let backlog_is_full = self.backlog_bytes.get() >= self.limits.backlog_bytes;
         backlog_is_full.then_some(Refusal::DiskRefused)
     }
 
-    /// Records on their way to the disk.
+    /// Returns the number of records that are being written.
     pub fn in_flight_records(&self) -> usize {
-        self.submitted.borrow().len()
+        self.pending_writes.borrow().len()
     }
 
     fn submit(&self, record: Record) -> u64 {
         let ticket = self.next_ticket.get();
         self.next_ticket.set(ticket + 1);
         let bytes = self.journal.append(ticket, &record);
-        self.waiting_bytes.set(self.waiting_bytes.get() + bytes);
+        self.backlog_bytes.set(self.backlog_bytes.get() + bytes);
         self.tickets.borrow_mut().insert(record.digest(), ticket);
-        let submitted = Submitted {
+        let pending_write = PendingWrite {
             record,
             bytes,
-            waiting: Vec::new(),
+            waiters: Vec::new(),
         };
-        self.submitted.borrow_mut().insert(ticket, submitted);
+        self.pending_writes
+            .borrow_mut()
+            .insert(ticket, pending_write);
         ticket
     }
 
-    /// Takes the journal's results for ever.
+    /// Processes results of the journal until it closes.
     pub async fn process_journal_results(&self, mut results: UnboundedReceiver<Vec<AppendResult>>) {
         while let Some(batch) = results.recv().await {
             let now = self.clock.seconds();
-            for appended in batch {
-                self.tell_of_disk(&appended);
-                self.finish(&appended, now);
+            for result in batch {
+                self.log_disk_state(&result);
+                self.complete_write(&result, now);
             }
             let metrics = observe::metrics();
             metrics.records.set(self.journal_end().next as i64);
@@ -351,35 +353,37 @@
         }
     }
 
-    fn tell_of_disk(&self, appended: &AppendResult) {
-        let refuses = appended.location.is_none();
-        if self.disk_refuses.replace(refuses) == refuses {
+    fn log_disk_state(&self, result: &AppendResult) {
+        let rejects_writes = result.location.is_none();
+        if self.disk_rejects_writes.replace(rejects_writes) == rejects_writes {
             return;
         }
-        match refuses {
-            true => observe::event(Event::DiskRefuses, &format!("ticket={}", appended.ticket)),
+        match rejects_writes {
+            true => observe::event(Event::DiskRefuses, &format!("ticket={}", result.ticket)),
             false => observe::event(Event::DependencyRegained, "disk"),
         }
     }
 
-    fn finish(&self, appended: &AppendResult, now: u64) {
-        let Some(submitted) = self.submitted.borrow_mut().remove(&appended.ticket) else {
+    fn complete_write(&self, result: &AppendResult, now: u64) {
+        let Some(pending_write) = self.pending_writes.borrow_mut().remove(&result.ticket) else {
             return;
         };
-        let digest = submitted.record.digest();
+        let digest = pending_write.record.digest();
         self.tickets.borrow_mut().remove(&digest);
-        let waiting_bytes = self.waiting_bytes.get() - submitted.bytes;
-        self.waiting_bytes.set(waiting_bytes);
-        if let Some(place) = appended.location {
-            self.state.borrow_mut().add(&submitted.record, place, now);
-            self.count_in_segment(u64::from(place.segment), now);
+        let backlog_bytes = self.backlog_bytes.get() - pending_write.bytes;
+        self.backlog_bytes.set(backlog_bytes);
+        if let Some(location) = result.location {
+            self.state
+                .borrow_mut()
+                .add(&pending_write.record, location, now);
+            self.update_segment_usage(u64::from(location.segment), now);
         }
-        for waiting in submitted.waiting {
-            let _ = waiting.send(appended.location.is_some());
+        for waiter in pending_write.waiters {
+            let _ = waiter.send(result.location.is_some());
         }
     }
 
-    fn count_in_segment(&self, number: u64, now: u64) {
+    fn update_segment_usage(&self, number: u64, now: u64) {
         let mut segments = self.segments.borrow_mut();
         match segments.back_mut() {
             Some(segment) if segment.number == number => {
@@ -394,18 +398,18 @@
         }
     }
 
-    /// Forgets what is past its time, one segment after the other. Called
-    /// regularly: a store that takes nothing new must forget all the same.
+    /// Expires segments whose records have passed their retention. Must be called
+    /// regularly, because a store without new records has to expire old ones too.
     pub async fn expire_segments(&self) {
-        if self.expiring.replace(true) {
+        if self.is_expiring.replace(true) {
             return;
         }
         while let Some(segment) = self.expired_segment() {
             match self.reader.segment(segment.number).await {
                 Ok(mut records) if records.len() >= segment.records => {
-                    // What follows was never acknowledged: its write failed.
+                    // Further records were never acknowledged because their write failed.
                     records.truncate(segment.records);
-                    self.forget(segment, records);
+                    self.expire_segment(segment, records);
                 }
                 Ok(records) => {
                     let detail = format!("segment={} records={}", segment.number, records.len());
@@ -419,25 +423,26 @@
                 }
             }
         }
-        self.expiring.set(false);
+        self.is_expiring.set(false);
     }
 
-    /// The oldest segment, if it is past its time and not the newest.
+    /// Returns the oldest segment if it has expired and is not the newest.
     fn expired_segment(&self) -> Option<SegmentUsage> {
         let segments = self.segments.borrow();
         let oldest = segments.front().filter(|_| segments.len() > 1)?;
-        let kept_until = oldest.last_write + self.state.borrow().max_retention_seconds();
-        (kept_until <= self.clock.seconds()).then_some(*oldest)
+        let expires_at = oldest.last_write + self.state.borrow().max_retention_seconds();
+        (expires_at <= self.clock.seconds()).then_some(*oldest)
     }
 
-    fn forget(&self, segment: SegmentUsage, records: Vec<Record>) {
+    fn expire_segment(&self, segment: SegmentUsage, records: Vec<Record>) {
         self.segments.borrow_mut().pop_front();
         let now = self.clock.seconds();
-        let again = self.state.borrow_mut().expire(records, now);
-        for record in again {
+        let retained = self.state.borrow_mut().expire(records, now);
+        for record in retained {
             self.submit(record);
         }
-        // The journal works in order: the copies are written before this.
+        // The journal handles commands in order, so the copies are written before the
+        // removal.
         self.journal.remove(segment.number);
     }
 }
--- a/crates/stageyoke-store/src/local_store/peer_reports.rs
+++ b/crates/stageyoke-store/src/local_store/peer_reports.rs
@@ -1,6 +1,6 @@
-//! What a store hears of its group's list from callers and other stores, beside the
-//! key-value service: newer versions, stores that are to become members, members that
-//! don't answer.
+//! Membership information that a store receives from fronts and other stores, in addition
+//! to the key-value service: newer store groups, stores that are about to become members,
+//! and members that do not answer.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
@@ -13,88 +13,94 @@
 use super::LocalStore;
 use crate::message::SilentPeer;
 
-/// What was heard.
+/// Information received from peers, and silent members to report to them.
 #[derive(Debug, Default)]
-pub(super) struct Heard {
-    /// A caller went by a newer list.
-    newer_list: Notify,
-    /// Newer store groups that another store told of.
+pub(super) struct ReceivedReports {
+    /// Notified when a requester used a newer member list.
+    newer_member_list: Notify,
+    /// Newest store groups received from another store, until they are applied.
     stores: RefCell<Option<StoreGroups>>,
-    /// When a store that is no member compared with this one.
-    spare_at: Cell<Option<Instant>>,
-    /// Members that don't answer this store, told to others.
+    /// Time at which a store outside the group last asked for digests.
+    spare_request_at: Cell<Option<Instant>>,
+    /// Members that do not answer this store, as reported to other stores.
     silent_peers: RefCell<Vec<SilentSince>>,
 }
 
 /// A member that does not answer this store.
 #[derive(Clone, Debug)]
 pub struct SilentSince {
-    /// Its machine.
+    /// Machine name of the member.
     pub node: Text,
-    /// When it answered last.
+    /// Time of its last answer.
     pub since: Instant,
 }
 
 impl SilentSince {
-    fn told_now(&self) -> SilentPeer {
+    fn to_silent_peer(&self) -> SilentPeer {
         let milliseconds = self.since.elapsed().as_millis();
         SilentPeer {
             node: self.node.clone(),
-            milliseconds: u32::try_from(milliseconds).unwrap_or(u32::MAX),
+            silent_milliseconds: u32::try_from(milliseconds).unwrap_or(u32::MAX),
         }
     }
 }
 
 impl LocalStore {
-    /// Notes who compares with this store as a member, or as one that is to become one.
-    pub(super) fn note_asker(&self, group: GroupNumber, node: &Text) {
-        let own_group = self.group() == Some(group);
-        if own_group && self.members().get(node).is_none() {
-            self.heard.spare_at.set(Some(Instant::now()));
+    /// Records a request for digests by a store that is not a member of this store's group.
+    pub(super) fn record_requester(&self, group: GroupNumber, node: &Text) {
+        let is_own_group = self.group() == Some(group);
+        if is_own_group && self.members().get(node).is_none() {
+            self.received_reports
+                .spare_request_at
+                .set(Some(Instant::now()));
         }
     }
 
-    /// How long ago a store that is no member of the group compared with this one.
+    /// Returns the time since a store outside the group last asked for digests.
     pub fn elapsed_since_spare_request(&self) -> Option<Duration> {
-        self.heard.spare_at.get().map(|at| at.elapsed())
+        self.received_reports
+            .spare_request_at
+            .get()
+            .map(|at| at.elapsed())
     }
 
-    /// Another store goes by these groups. A store whose group's list is not known here
-    /// takes none: a lost disk may have known newer ones.
-    pub(super) fn hear_stores(&self, stores: StoreGroups) {
-        let newer = stores.version > self.stores().version;
-        if newer && self.group().is_some() && self.members().version > 0 {
-            self.heard.stores.replace(Some(stores));
-            self.heard.newer_list.notify_one();
+    /// Receives newer store groups from another store. Ignored if this store does not know
+    /// its group's member list: a lost disk may have known newer groups.
+    pub(super) fn receive_stores(&self, stores: StoreGroups) {
+        let is_newer = stores.version > self.stores().version;
+        if is_newer && self.group().is_some() && self.members().version > 0 {
+            self.received_reports.stores.replace(Some(stores));
+            self.received_reports.newer_member_list.notify_one();
         }
     }
 
-    /// Newer store groups that another store told of.
+    /// Takes the newer store groups received from another store.
     pub fn take_reported_stores(&self) -> Option<StoreGroups> {
-        self.heard.stores.take()
+        self.received_reports.stores.take()
     }
 
-    /// These members don't answer this store.
+    /// Sets the members that do not answer this store, for reports to other stores.
     pub fn set_silent_peers(&self, silent: Vec<SilentSince>) {
-        self.heard.silent_peers.replace(silent);
+        self.received_reports.silent_peers.replace(silent);
     }
 
-    /// What others are told of members that don't answer.
+    /// Returns the members that do not answer this store, for a report to another store.
     pub(super) fn silent_peers(&self) -> List<SilentPeer> {
-        let silent = self.heard.silent_peers.borrow();
-        silent.iter().map(SilentSince::told_now).collect()
+        let silent = self.received_reports.silent_peers.borrow();
+        silent.iter().map(SilentSince::to_silent_peer).collect()
     }
 
-    /// A caller went by a newer list of the group: it is worth a read of the service.
-    /// A change waits for the members that have not heard of it.
+    /// Waits until a requester uses a newer member list of the group. The list is then
+    /// worth reading from the key-value service, because a change of members waits until
+    /// all of them know it.
     pub async fn wait_for_newer_member_list(&self) {
-        self.heard.newer_list.notified().await;
+        self.received_reports.newer_member_list.notified().await;
     }
 
-    /// Notes by which version a caller goes.
-    pub(super) fn note_version(&self, group: GroupNumber, members_version: u64) {
-        if self.standing.borrow().is_lagging(group, members_version) {
-            self.heard.newer_list.notify_one();
+    /// Wakes `wait_for_newer_member_list` if a requester uses a newer member list.
+    pub(super) fn check_requester_version(&self, group: GroupNumber, members_version: u64) {
+        if self.membership.borrow().is_lagging(group, members_version) {
+            self.received_reports.newer_member_list.notify_one();
         }
     }
 }
--- a/crates/stageyoke-store/src/local_store/requests.rs
+++ b/crates/stageyoke-store/src/local_store/requests.rs
@@ -1,4 +1,4 @@
-//! A store's answers to fronts and other stores.
+//! Handling of requests from fronts and other stores.
 
 use std::time::Duration;
 
@@ -17,34 +17,34 @@
 };
 use crate::state::ChainLink;
 
-/// Time for a read of the configuration on behalf of fronts: a connection that
-/// owes an answer for twice as long is given up (`client`).
-const TELL_ROUTES_WITHIN: Duration = Duration::from_millis(300);
+/// Time limit for reading the routing configuration on behalf of a front: half the time
+/// after which `client` closes a connection with outstanding replies.
+const ROUTES_READ_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What an answer is to bring behind it. Requests wait by the hundred while a disk does:
-/// only this of their fields is held meanwhile.
+/// The extension fields that a reply must carry. Requests queue up while the disk is slow,
+/// so only these values of a request's fields are held until the reply.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestedFields {
-    /// The front that is told what all others have under way.
-    ranks_for: Option<u32>,
-    /// The front that is told how long engines take.
-    paces_for: Option<u32>,
-    /// Whether the program that was asked for has begun.
-    begun: Option<bool>,
+    /// Front that receives the rank loads of all other fronts.
+    rank_loads_for: Option<u32>,
+    /// Front that receives the engine deviations.
+    engine_deviations_for: Option<u32>,
+    /// Whether the queried program has started.
+    started: Option<bool>,
 }
 
 impl LocalStore {
-    /// Takes the fields behind a request, and tells what its answer is to bring.
+    /// Applies the extension fields of a request and returns what its reply must carry.
     pub fn apply_request_fields(
         &self,
         request: &Request,
         fields: ExtensionFields,
     ) -> RequestedFields {
-        let tells_paces = fields.engine_latencies.is_some();
-        if let Some(paces) = &fields.engine_latencies {
-            self.loads.engines.add(paces);
+        let wants_deviations = fields.engine_latencies.is_some();
+        if let Some(latencies) = &fields.engine_latencies {
+            self.loads.engines.add(latencies);
         }
-        let tells_ranks = fields.rank_loads.is_some() || fields.program.is_some();
+        let wants_rank_loads = fields.rank_loads.is_some() || fields.program.is_some();
         let front = match request {
             Request::Append { load, record, .. } => {
                 if let Some(rank_loads) = fields.rank_loads {
@@ -55,31 +55,32 @@
             _ => fields.front,
         };
         RequestedFields {
-            ranks_for: front.filter(|_| tells_ranks),
-            paces_for: front.filter(|_| tells_paces),
-            begun: fields.program.map(|program| self.has_begun(&program)),
+            rank_loads_for: front.filter(|_| wants_rank_loads),
+            engine_deviations_for: front.filter(|_| wants_deviations),
+            started: fields.program.map(|program| self.has_started(&program)),
         }
     }
 
-    /// Whether any turn of a program has begun, as far as this store knows.
-    fn has_begun(&self, program: &Text) -> bool {
+    /// Returns whether any turn of a program has started, as far as this store knows.
+    fn has_started(&self, program: &Text) -> bool {
         let entries = self.state.borrow().ledger_entries(program);
         entries.iter().any(|entry| entry.amount > 0)
     }
 
-    /// The fields behind an answer.
-    pub fn reply_fields(&self, answer: RequestedFields) -> ExtensionFields {
-        let ranks = answer.ranks_for;
-        let paces = answer.paces_for;
+    /// Builds the extension fields of a reply.
+    pub fn reply_fields(&self, requested: RequestedFields) -> ExtensionFields {
+        let rank_loads_for = requested.rank_loads_for;
+        let deviations_for = requested.engine_deviations_for;
         ExtensionFields {
-            rank_loads: ranks.map(|front| self.loads.ranks.report_excluding(front)),
-            engine_deviations: paces.and_then(|front| self.loads.engines.deviations_for(front)),
-            started: answer.begun,
+            rank_loads: rank_loads_for.map(|front| self.loads.ranks.report_excluding(front)),
+            engine_deviations: deviations_for
+                .and_then(|front| self.loads.engines.deviations_for(front)),
+            started: requested.started,
             ..ExtensionFields::default()
         }
     }
 
-    /// Answers one request.
+    /// Handles one request.
     pub async fn handle_request(&self, request: Request) -> Reply {
         match request {
             Request::Append {
@@ -91,15 +92,15 @@
             } => {
                 let front = load.front;
                 self.loads.update(load);
-                self.count_turn(&record, placement);
+                self.update_running_turns(&record, placement);
                 self.append(group, members_version, front, record).await
             }
             Request::TurnPlaced { turn, placement } => {
-                self.placed.borrow_mut().start(turn, placement);
+                self.placed_turns.borrow_mut().start(turn, placement);
                 Reply::Pong
             }
             Request::TurnEnded { turn } => {
-                self.placed.borrow_mut().end(turn);
+                self.placed_turns.borrow_mut().end(turn);
                 Reply::Pong
             }
             Request::Chain {
@@ -114,96 +115,96 @@
                 from,
                 held,
             } => {
-                self.note_version(group, members_version);
-                self.note_asker(group, &node);
-                self.held_by_peers.borrow_mut().insert(node, held);
-                self.tell_digests(group, members_version, from)
+                self.check_requester_version(group, members_version);
+                self.record_requester(group, &node);
+                self.positions_held_by_peers.borrow_mut().insert(node, held);
+                self.read_digests(group, members_version, from)
             }
-            Request::Quota(question) => self.rule(question),
-            Request::QuotaGranted(question) => {
-                self.count_granted(question);
+            Request::Quota(request) => self.decide_quota(request),
+            Request::QuotaGranted(request) => {
+                self.count_granted(request);
                 Reply::Pong
             }
             Request::QuotaRefund { tenant, receipt } => {
-                let now = self.started.elapsed();
+                let now = self.started_at.elapsed();
                 let mut quotas = self.quotas.borrow_mut();
                 quotas.refund(tenant, receipt.into(), now);
                 Reply::Pong
             }
             Request::NewerStoreGroups(stores) => {
-                self.hear_stores(stores);
+                self.receive_stores(stores);
                 Reply::Pong
             }
             Request::Ping => Reply::Pong,
-            Request::Changes { after } => self.tell_changes(after),
-            Request::Routes => self.tell_routes().await,
-            Request::Directory => self.tell_directory(),
+            Request::Changes { after } => self.relay_changes(after),
+            Request::Routes => self.relay_routes().await,
+            Request::Directory => self.relay_directory(),
             Request::Stores => Reply::Stores(self.known_stores()),
-            Request::Items => Reply::Items(self.items.borrow().clone()),
+            Request::Items => Reply::Items(self.directory_items.borrow().clone()),
             Request::Fetch { digests } => self.fetch(&digests).await,
         }
     }
 
-    fn tell_digests(
+    fn read_digests(
         &self,
         group: GroupNumber,
         members_version: u64,
         from: JournalPosition,
     ) -> Reply {
         let directory = self.directory.mark();
-        let standing = self.standing_for_peer(group, members_version);
-        let mut reply = self.state.borrow().digests_reply(from, standing, directory);
+        let status = self.peer_status(group, members_version);
+        let mut reply = self.state.borrow().digests_reply(from, status, directory);
         if let Reply::Digests { silent, .. } = &mut reply {
             *silent = self.silent_peers();
         }
         reply
     }
 
-    fn standing_for_peer(&self, group: GroupNumber, members_version: u64) -> PeerStatus {
-        let standing = self.standing.borrow().peer_status(group, members_version);
+    fn peer_status(&self, group: GroupNumber, members_version: u64) -> PeerStatus {
+        let status = self.membership.borrow().peer_status(group, members_version);
         PeerStatus {
-            complete: standing.complete && self.has_saved_stores(),
-            ..standing
+            complete: status.complete && self.has_saved_stores(),
+            ..status
         }
     }
 
-    /// Records by their digests; those that can't be read are left out, and the
-    /// asker, which still misses them, asks again or elsewhere.
+    /// Reads records by their digests. Unreadable ones are left out; the requester still
+    /// misses them and asks again or elsewhere.
     async fn fetch(&self, digests: &[RecordDigest]) -> Reply {
-        let (places, journal, forgotten) = {
+        let (locations, journal, expired) = {
             let state = self.state.borrow();
-            let forgotten = digests.iter().filter(|digest| !state.holds(**digest));
-            let forgotten = forgotten.copied().collect();
+            let expired = digests.iter().filter(|digest| !state.holds(**digest));
+            let expired = expired.copied().collect();
             (
                 state.locations(digests),
                 state.journal_end().journal,
-                forgotten,
+                expired,
             )
         };
-        let read = self.reader.records(places).await;
+        let results = self.reader.records(locations).await;
         Reply::Fetched {
             journal,
-            records: read.into_iter().filter_map(Result::ok).collect(),
-            expired: forgotten,
+            records: results.into_iter().filter_map(Result::ok).collect(),
+            expired,
         }
     }
 
-    /// The chain that ends in a turn. A turn that is held and can't be read is
-    /// never told as missing: the caller must ask another store.
+    /// Reads the chain that ends in a turn. A turn that is stored but unreadable is never
+    /// reported as missing, so that the requester asks another store.
     async fn chain(&self, group: GroupNumber, members_version: u64, turn: &Text) -> Reply {
         let complete = {
-            let standing = self.standing.borrow();
-            standing.is_authoritative_for(group, members_version)
+            let membership = self.membership.borrow();
+            membership.is_authoritative_for(group, members_version)
         };
-        let refusal = self.standing.borrow().refusal(group, members_version);
-        let steps = self.state.borrow().chain(turn);
-        let Some(parts) = self.read_chain(turn, steps).await else {
+        let refusal = self.membership.borrow().refusal(group, members_version);
+        let links = self.state.borrow().chain(turn);
+        let Some(parts) = self.read_chain(turn, links).await else {
             return Reply::Refused(Refusal::DiskRefused);
         };
         if parts.is_empty()
-            && let Some(Reply::StaleMembers(newer)) = refusal
+            && let Some(Reply::StaleMembers(stores)) = refusal
         {
-            return Reply::StaleMembers(newer);
+            return Reply::StaleMembers(stores);
         }
         let missing = parts.last().map_or(turn, |last| &last.previous).clone();
         Reply::Chain {
@@ -213,25 +214,25 @@
         }
     }
 
-    /// The parts of a chain, those from the disk in one go; `None` if one can't
-    /// be read or is another turn than the one before it names.
-    async fn read_chain(&self, turn: &Text, steps: Vec<ChainLink>) -> Option<Vec<ChainPart>> {
-        let places = steps.iter().filter_map(|step| match step {
-            ChainLink::OnDisk(place) => Some(*place),
+    /// Returns the turns of a chain, reading those on disk in one call; `None` if one is
+    /// unreadable or is not the turn that its successor names.
+    async fn read_chain(&self, turn: &Text, links: Vec<ChainLink>) -> Option<Vec<ChainPart>> {
+        let locations = links.iter().filter_map(|link| match link {
+            ChainLink::OnDisk(location) => Some(*location),
             ChainLink::Cached(_) => None,
         });
-        let places: Vec<_> = places.collect();
-        let read = match places.is_empty() {
+        let locations: Vec<_> = locations.collect();
+        let results = match locations.is_empty() {
             true => Vec::new(),
-            false => self.reader.records(places).await,
+            false => self.reader.records(locations).await,
         };
-        let mut read = read.into_iter();
+        let mut results = results.into_iter();
         let mut parts = Vec::new();
         let mut expected = turn.clone();
-        for step in steps {
-            let part = match step {
+        for link in links {
+            let part = match link {
                 ChainLink::Cached(part) => part,
-                ChainLink::OnDisk(_) => part_of(read.next()?.ok()?)?,
+                ChainLink::OnDisk(_) => chain_part(results.next()?.ok()?)?,
             };
             if part.turn != expected {
                 return None;
@@ -249,143 +250,144 @@
         front: u32,
         record: Record,
     ) -> Reply {
-        self.note_version(group, members_version);
-        let refusal = self.standing.borrow().refusal(group, members_version);
+        self.check_requester_version(group, members_version);
+        let refusal = self.membership.borrow().refusal(group, members_version);
         if let Some(refusal) = refusal {
             return refusal;
         }
-        if let Some(refusal) = self.no_room_for(&record) {
+        if let Some(refusal) = self.refusal_for(&record) {
             return Reply::Refused(refusal);
         }
-        let reserved = match &record {
+        let reservation = match &record {
             Record::Reserve { program, turn, .. } => Some((program.clone(), TurnKey::of(turn))),
             Record::Settle { .. } | Record::Turn(_) | Record::Clock { .. } => None,
         };
         if !self.store_record(record).await {
             return Reply::Refused(Refusal::DiskRefused);
         }
-        // A newer list may have come while the record waited for the disk, and a peer may
-        // have been told of what is held by that list, without this record.
-        if let Some(refusal) = self.standing.borrow().refusal(group, members_version) {
+        // A newer member list may have arrived while the record waited for the disk, and a
+        // peer may have fetched digests under that list without this record.
+        if let Some(refusal) = self.membership.borrow().refusal(group, members_version) {
             return refusal;
         }
-        let (ledger, others) = match reserved {
+        let (ledger, other_fronts) = match reservation {
             Some((program, TurnKey(turn))) => (
                 self.state.borrow().ledger_entries(&program),
                 OtherFrontsReport {
-                    placed_turns: self.placed.borrow_mut().counts_excluding(turn),
+                    placed_turns: self.placed_turns.borrow_mut().counts_excluding(turn),
                     ..self.loads.report_excluding(front)
                 },
             ),
             None => Default::default(),
         };
         Reply::Stored {
-            complete: self.standing.borrow().is_complete_for(group),
+            complete: self.membership.borrow().is_complete_for(group),
             ledger,
-            other_fronts: others,
+            other_fronts,
             directory: self.directory.mark(),
         }
     }
 
-    /// Decides on a tenant's request, for all fronts.
-    fn rule(&self, question: QuotaRequest) -> Reply {
-        let pressed = question.forced || question.standby;
-        let Some(question) = question.validated() else {
+    /// Decides on a tenant's request on behalf of all fronts.
+    fn decide_quota(&self, request: QuotaRequest) -> Reply {
+        let forced = request.forced || request.standby;
+        let Some(request) = request.validated() else {
             return Reply::Quota(QuotaReply::default());
         };
-        let now = self.started.elapsed();
+        let now = self.started_at.elapsed();
         let mut quotas = self.quotas.borrow_mut();
-        let verdict = match pressed || quotas.has_full_window(question.tenant, now) {
-            true => quotas.acquire(&question, now),
+        let decision = match forced || quotas.has_full_window(request.tenant, now) {
+            true => quotas.acquire(&request, now),
             false => QuotaDecision::Unknown,
         };
-        let after = match verdict {
-            QuotaDecision::Rejected(after) => after,
+        let retry_after = match decision {
+            QuotaDecision::Rejected(retry_after) => retry_after,
             QuotaDecision::Granted | QuotaDecision::Unknown => Duration::ZERO,
         };
-        let receipt = match verdict {
-            QuotaDecision::Granted => quotas.receipt(question.tenant, now),
+        let receipt = match decision {
+            QuotaDecision::Granted => quotas.receipt(request.tenant, now),
             QuotaDecision::Rejected(_) | QuotaDecision::Unknown => None,
         };
         Reply::Quota(QuotaReply {
-            decided: verdict != QuotaDecision::Unknown,
-            granted: verdict == QuotaDecision::Granted,
-            retry_after_milliseconds: u32::try_from(after.as_millis()).unwrap_or(u32::MAX),
+            decided: decision != QuotaDecision::Unknown,
+            granted: decision == QuotaDecision::Granted,
+            retry_after_milliseconds: u32::try_from(retry_after.as_millis()).unwrap_or(u32::MAX),
             fronts: u16::try_from(self.loads.reporting_fronts()).unwrap_or(u16::MAX),
             receipt: receipt.unwrap_or_default().into(),
         })
     }
 
-    fn count_granted(&self, question: QuotaRequest) {
-        if let Some(question) = question.validated() {
-            let now = self.started.elapsed();
-            self.quotas.borrow_mut().count(&question, now);
+    fn count_granted(&self, request: QuotaRequest) {
+        if let Some(request) = request.validated() {
+            let now = self.started_at.elapsed();
+            self.quotas.borrow_mut().count(&request, now);
         }
     }
 
-    /// Counts the turn that a record begins or ends.
-    fn count_turn(&self, record: &Record, placement: Option<Placement>) {
-        let mut placed = self.placed.borrow_mut();
+    /// Updates the running turns from a record that starts or ends a turn.
+    fn update_running_turns(&self, record: &Record, placement: Option<Placement>) {
+        let mut placed_turns = self.placed_turns.borrow_mut();
         match (record, placement) {
             (Record::Reserve { turn, .. }, Some(placement)) => {
-                placed.start(TurnKey::of(turn).0, placement);
+                placed_turns.start(TurnKey::of(turn).0, placement);
             }
-            (Record::Settle { turn, .. }, _) => placed.end(TurnKey::of(turn).0),
-            (Record::Turn(record), _) => placed.end(TurnKey::of(&record.turn).0),
+            (Record::Settle { turn, .. }, _) => placed_turns.end(TurnKey::of(turn).0),
+            (Record::Turn(record), _) => placed_turns.end(TurnKey::of(&record.turn).0),
             (Record::Reserve { .. } | Record::Clock { .. }, _) => {}
         }
     }
 
-    /// Why this record is not taken. New turns are refused before the ends of
-    /// those that have begun, so that these can still be kept.
-    fn no_room_for(&self, record: &Record) -> Option<Refusal> {
-        let most = match record {
+    /// Returns why this record cannot be stored. New turns are refused at a lower limit
+    /// than the results of running ones, so that these can still be stored.
+    fn refusal_for(&self, record: &Record) -> Option<Refusal> {
+        let limit_bytes = match record {
             Record::Reserve { .. } => self.limits.reservation_limit_bytes(),
             Record::Settle { .. } | Record::Turn(_) => self.limits.state_bytes,
-            // A store's own; no caller may send it.
+            // Clock records are internal and not accepted from a requester.
             Record::Clock { .. } => return Some(Refusal::NotAMember),
         };
-        self.no_room_below(most)
+        self.refusal_at(limit_bytes)
     }
 
-    fn tell_changes(&self, after: u64) -> Reply {
-        let source = self.source.borrow();
-        let told = source
+    fn relay_changes(&self, after: u64) -> Reply {
+        let source = self.directory_source.borrow();
+        let relayed = source
             .as_ref()
             .and_then(|source| source.relay_changes(after));
-        told.map_or(Reply::DirectoryUnknown, directory_relay::changes_reply)
+        relayed.map_or(Reply::DirectoryUnknown, directory_relay::changes_reply)
     }
 
-    async fn tell_routes(&self) -> Reply {
-        let source = self.source.borrow().clone();
+    async fn relay_routes(&self) -> Reply {
+        let source = self.directory_source.borrow().clone();
         let Some(source) = source else {
             return Reply::DirectoryUnknown;
         };
-        // A front asks the service itself where this takes longer.
-        let telling = tokio::time::timeout(TELL_ROUTES_WITHIN, source.relay_routes()).await;
-        let told = telling.ok().flatten();
-        told.map_or(Reply::DirectoryUnknown, directory_relay::routes_reply)
+        // If this takes longer, the front reads from the key-value service itself.
+        let reading = tokio::time::timeout(ROUTES_READ_TIMEOUT, source.relay_routes()).await;
+        let relayed = reading.ok().flatten();
+        relayed.map_or(Reply::DirectoryUnknown, directory_relay::routes_reply)
     }
 
-    /// The members of the groups, or who has registered while there are none.
+    /// Returns the addresses of all members, or of the registered stores before the groups
+    /// are formed.
     fn known_stores(&self) -> List<Text> {
         let stores = self.stores();
         if stores.is_formed() {
             let members = stores.members();
             return members.map(|member| member.address.clone()).collect();
         }
-        self.registered.borrow().clone()
+        self.registered_addresses.borrow().clone()
     }
 
-    fn tell_directory(&self) -> Reply {
-        let source = self.source.borrow();
-        let told = source.as_ref().and_then(|source| source.relay_items());
-        told.map_or(Reply::DirectoryUnknown, directory_relay::directory_reply)
+    fn relay_directory(&self) -> Reply {
+        let source = self.directory_source.borrow();
+        let relayed = source.as_ref().and_then(|source| source.relay_items());
+        relayed.map_or(Reply::DirectoryUnknown, directory_relay::directory_reply)
     }
 }
 
-/// The part of a chain that a record is.
-fn part_of(record: Record) -> Option<ChainPart> {
+/// Extracts the chain part from a turn record.
+fn chain_part(record: Record) -> Option<ChainPart> {
     match record {
         Record::Turn(TurnRecord {
             turn,
--- a/crates/stageyoke-store/src/message.rs
+++ b/crates/stageyoke-store/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between fronts and stores, and among stores.
+//! Messages that fronts and stores exchange, in their binary encoding.
 
 use nanoserde::{DeBin, SerBin};
 use stageyoke_directory::{DirectoryMark, GroupNumber, StoreGroups};
@@ -6,61 +6,61 @@
 use stageyoke_policy::token_bucket::RateLimit;
 use stageyoke_types::{Blob, List, Text};
 
-/// One finished turn of a program whose history is kept. Immutable.
+/// An immutable record of one finished turn of a program whose history is stored.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct TurnRecord {
     /// Request identifier of the turn.
     pub turn: Text,
-    /// Program; empty where the request named none.
+    /// Name of the program; empty if the request named none.
     pub program: Text,
-    /// Turn that it goes on from; empty at the start.
+    /// Identifier of the turn that this one continues; empty for the first turn of a chain.
     pub previous: Text,
-    /// The turn's own input.
+    /// Input of this turn alone, without that of earlier turns.
     pub input: Blob,
-    /// Data of its events, each followed by a line feed.
+    /// Data of the response events, each terminated by a line feed.
     pub output: Blob,
-    /// Tokens that it generated.
+    /// Number of generated tokens.
     pub used_tokens: u32,
-    /// How long the turn and its chain are kept, in seconds.
+    /// Time in seconds for which the turn and the chain before it are retained.
     pub retention_seconds: u32,
 }
 
-/// What a journal holds.
+/// An entry of a store's journal.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum Record {
-    /// A turn may generate up to `most` tokens.
+    /// Reserves up to `max_tokens` of a program's budget for one turn.
     Reserve {
         /// Program whose budget is reserved.
         program: Text,
-        /// Turn that reserves.
+        /// Turn that holds the reservation.
         turn: Text,
-        /// Most tokens of the turn.
+        /// Upper bound on the tokens that the turn may generate.
         max_tokens: u32,
     },
-    /// A turn is over and has generated `used` tokens.
+    /// Settles a reservation: the turn ended after generating `used_tokens`.
     Settle {
         /// Program whose budget was reserved.
         program: Text,
-        /// Turn that reserved.
+        /// Turn that held the reservation.
         turn: Text,
-        /// Tokens that it generated.
+        /// Number of tokens that the turn generated.
         used_tokens: u32,
     },
-    /// A finished turn; settles its reservation as well.
+    /// Stores a finished turn and settles its reservation.
     Turn(TurnRecord),
-    /// Start of a segment by the disk's own clock; never sent to others.
+    /// Marks the start of a segment by the disk's clock; never sent to another process.
     Clock {
-        /// Seconds that processes have run on this disk.
+        /// Total time in seconds that processes have run on this disk.
         seconds: u64,
     },
 }
 
-/// Identifies a record among stores: a digest of its kind and identifier.
+/// Identifies a record across stores: a digest of its kind, program and turn.
 pub type RecordDigest = u64;
 
 impl Record {
-    /// The digest by which stores compare what they hold. Records are
-    /// immutable, so kind and identifiers suffice.
+    /// Returns the digest by which stores compare their records. Records are immutable, so
+    /// the kind and the identifiers determine the content.
     pub fn digest(&self) -> RecordDigest {
         let (kind, program, turn) = match self {
             Self::Reserve { program, turn, .. } => (0_u8, program.as_str(), turn.as_str()),
@@ -80,200 +80,201 @@
     }
 }
 
-/// One turn's part of a program's ledger.
+/// One turn's entry in a program's ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct LedgerEntry {
-    /// The turn, by its key (`TurnKey`).
+    /// Key of the turn (`TurnKey`).
     pub turn: u64,
-    /// Tokens used if settled, else the most it may generate.
+    /// Tokens that the turn used if it is settled, otherwise its reserved maximum.
     pub amount: u32,
-    /// Whether the turn is over.
+    /// Whether the turn has ended and its reservation is settled.
     pub settled: bool,
 }
 
-/// One turn of a chain, as a replica is to receive it.
+/// One turn of a chain, as sent to a replica.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct ChainPart {
-    /// The turn.
+    /// Identifier of the turn.
     pub turn: Text,
-    /// Turn that it goes on from; empty at the start.
+    /// Identifier of the turn that this one continues; empty for the first turn of a chain.
     pub previous: Text,
-    /// Its own input.
+    /// Input of this turn alone.
     pub input: Blob,
-    /// Data of its events, each followed by a line feed.
+    /// Data of the response events, each terminated by a line feed.
     pub output: Blob,
 }
 
-/// A position in the journal of one life of a store's process. A restart counts anew:
-/// what was forgotten before it is not there to be counted.
+/// A position in the journal of one store process. The journal gets a new identifier and
+/// its positions count from zero again when the process restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct JournalPosition {
-    /// Identifier of the journal, drawn at each start.
+    /// Random identifier of the journal, chosen when the process starts.
     pub journal: u64,
     /// Number of the next record to read.
     pub next: u64,
 }
 
-/// A member that does not answer another.
+/// A member that does not answer another member.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct SilentPeer {
-    /// Its machine.
+    /// Machine name of the silent member.
     pub node: Text,
-    /// For how long, ms.
-    pub milliseconds: u32,
+    /// Time in milliseconds since its last answer.
+    pub silent_milliseconds: u32,
 }
 
-/// An item of the key-value service, as a store last saw it.
+/// An item of the key-value service, as last read by a store.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct DirectoryItem {
-    /// The key.
+    /// Key of the item.
     pub key: Text,
-    /// Its value.
+    /// Value of the item.
     pub value: Blob,
-    /// Revision of its last change.
+    /// Revision of the last change to the item.
     pub revision: u64,
 }
 
-/// A change of an item, as a store saw it.
+/// A change to an item of the key-value service, as observed by a store.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct DirectoryChange {
-    /// The key.
+    /// Key of the changed item.
     pub key: Text,
-    /// Its value; `None` if it was removed.
+    /// New value; `None` if the item was removed.
     pub value: Option<Blob>,
     /// Revision of the change.
     pub revision: u64,
 }
 
-/// How far a copy of the directory goes.
+/// How recent a store's copy of the directory is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct CopyFreshness {
-    /// It holds every change up to this revision.
+    /// Highest revision up to which the copy contains every change.
     pub revision: u64,
-    /// How long ago that was the newest state, in milliseconds.
+    /// Time in milliseconds since the copy was known to be current.
     pub age_milliseconds: u32,
-    /// How much longer entries that it misses may come back, as the key-value
-    /// service was away, in milliseconds; zero where they have ended.
-    pub back_within_milliseconds: u32,
+    /// Time in milliseconds during which entries that lapsed in a service outage may still
+    /// reappear; zero if there are none.
+    pub lapsed_entry_grace_milliseconds: u32,
 }
 
-/// Requests that one front has under way at one replica.
+/// Requests that one front has in flight at one replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct LoadEntry {
     /// Hash of the replica's identifier.
     pub replica: u32,
-    /// Requests under way there.
+    /// Number of requests in flight.
     pub in_flight: u16,
 }
 
-/// Where a turn runs.
+/// The replica on which a turn runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct Placement {
     /// Hash of the replica's identifier.
     pub replica: u32,
-    /// How long it may run at most, in milliseconds.
+    /// Upper bound on the turn's duration, in milliseconds.
     pub max_duration_milliseconds: u32,
 }
 
-/// How long a replica's answers took one front, against what such answers take.
+/// Latency of one replica as measured by one front, relative to the baseline latency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct LatencyEntry {
     /// Hash of the replica's identifier.
     pub replica: u32,
-    /// Hundredths of the logarithm of that ratio, summed over the answers.
+    /// Sum over the answers of the logarithm of latency over baseline, in hundredths.
     pub log_ratio: i32,
-    /// Answers.
+    /// Number of answers in the sum.
     pub answers: u16,
 }
 
-/// A replica that takes longer than most of those that fronts tell of.
+/// A replica that is slower than most replicas that fronts report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct SlowReplica {
     /// Hash of the replica's identifier.
     pub replica: u32,
-    /// How many times as long, in tenths.
+    /// Slowdown factor relative to those replicas, in tenths.
     pub slowdown_tenths: u16,
 }
 
-/// What a front has seen of replicas, told along with its records.
+/// A front's observations of replicas, sent along with its records.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct LoadReport {
-    /// Chosen by the front at its start.
+    /// Number that identifies the front, chosen when it starts.
     pub front: u32,
-    /// Replicas with requests under way; the busiest where there are many.
+    /// Replicas with requests in flight; only the busiest if there are many.
     pub entries: List<LoadEntry>,
-    /// Hashes of the replicas that have failed this front of late.
+    /// Hashes of the replicas that recently failed requests of this front.
     pub suspects: List<u32>,
-    /// Times of answers since the group was told last.
+    /// Latencies of the answers received since the last report to this group.
     pub latencies: List<LatencyEntry>,
 }
 
-/// How many other fronts a replica has failed of late.
+/// Number of other fronts that recently had requests fail at a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct Suspicion {
     /// Hash of the replica's identifier.
     pub replica: u32,
-    /// Fronts that report it.
+    /// Number of fronts that report the replica.
     pub fronts: u16,
 }
 
-/// What all other fronts have seen of replicas.
+/// Combined observations of all fronts except the one that receives this report.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct OtherFrontsReport {
-    /// Requests under way, summed; the busiest replicas where there are many.
+    /// Requests in flight per replica, summed over the fronts; only the busiest replicas if
+    /// there are many.
     pub entries: List<LoadEntry>,
-    /// Replicas that failed other fronts of late.
+    /// Replicas that recently failed requests of other fronts.
     pub suspects: List<Suspicion>,
-    /// The group's other turns that run now, by replica.
+    /// Number of the group's other running turns per replica.
     pub placed_turns: List<LoadEntry>,
-    /// Slow replicas, by what all fronts have told.
+    /// Slow replicas, computed from the reports of all fronts.
     pub slow_replicas: List<SlowReplica>,
 }
 
-/// May one more request of a tenant be made?
+/// Asks an owner whether a tenant may make one more request.
 #[derive(Clone, Copy, Debug, PartialEq, SerBin, DeBin)]
 pub struct QuotaRequest {
     /// Hash of the tenant's name.
     pub tenant: u64,
-    /// Hash of the request's program; zero where it has none.
+    /// Hash of the request's program; zero if it has none.
     pub program: u64,
-    /// The tenant's limit, in requests a second.
+    /// Rate limit of the tenant, in requests per second.
     pub per_second: f64,
-    /// Requests beyond that at once.
+    /// Number of requests that the tenant may make at once beyond the rate.
     pub burst: f64,
-    /// Version of the configuration that the limit is from.
+    /// Version of the configuration that defines the limit.
     pub version: u64,
-    /// Whether the store is asked in place of others that did not answer.
+    /// Whether this store stands in for owners that did not answer.
     pub standby: bool,
-    /// Whether it shall decide though it does not know the whole window: no store
-    /// does.
+    /// Whether the store must decide even if it does not know the whole window, since no
+    /// store knows it.
     pub forced: bool,
 }
 
 impl From<AcquireRequest> for QuotaRequest {
-    fn from(question: AcquireRequest) -> Self {
+    fn from(request: AcquireRequest) -> Self {
         Self {
-            tenant: question.tenant,
-            program: question.program,
-            per_second: question.limit.per_second,
-            burst: question.limit.burst,
-            version: question.version,
-            standby: question.standby,
+            tenant: request.tenant,
+            program: request.program,
+            per_second: request.limit.per_second,
+            burst: request.limit.burst,
+            version: request.version,
+            standby: request.standby,
             forced: false,
         }
     }
 }
 
 impl QuotaRequest {
-    /// The question, if its limit is one.
+    /// Converts this request for the quota ledger; `None` if its limit is not valid.
     pub fn validated(self) -> Option<AcquireRequest> {
         let limit = RateLimit {
             per_second: self.per_second,
             burst: self.burst,
         };
-        let sound = limit.per_second.is_finite() && limit.burst.is_finite();
-        let sound = sound && limit.per_second > 0.0 && limit.burst >= 0.0;
-        sound.then_some(AcquireRequest {
+        let is_valid = limit.per_second.is_finite() && limit.burst.is_finite();
+        let is_valid = is_valid && limit.per_second > 0.0 && limit.burst >= 0.0;
+        is_valid.then_some(AcquireRequest {
             tenant: self.tenant,
             program: self.program,
             limit,
@@ -283,30 +284,30 @@
     }
 }
 
-/// An owner's answer.
+/// An owner's decision on a tenant's request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct QuotaReply {
-    /// Whether this store has decided: it counts for the tenant, and knows its requests
-    /// of the last window.
+    /// Whether the store decided at all: it is an owner of the tenant's quota and knows the
+    /// tenant's requests of the last window.
     pub decided: bool,
     /// Whether the request may be made.
     pub granted: bool,
-    /// When to come back, in milliseconds.
+    /// Time in milliseconds after which a rejected caller should retry.
     pub retry_after_milliseconds: u32,
-    /// Fronts that this store hears from.
+    /// Number of fronts that report to this store.
     pub fronts: u16,
-    /// Where a granted request was counted.
+    /// Identifies the granted request for a later refund.
     pub receipt: QuotaReceipt,
 }
 
-/// Where a granted request was counted, by which it can be given back.
+/// Identifies where a granted request was counted, so that it can be refunded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct QuotaReceipt {
     /// Slot of the owner's window.
     pub slot: u64,
     /// Version of the limit.
     pub version: u64,
-    /// Life of the owner.
+    /// Incarnation of the owner's quota ledger.
     pub incarnation: u64,
 }
 
@@ -330,202 +331,202 @@
     }
 }
 
-/// What a caller asks of a store.
+/// A request to a store.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub enum Request {
-    /// Keep a record; answered once it is on the disk.
+    /// Stores a record; answered once the record is synced to disk.
     Append {
-        /// The group that the record belongs to.
+        /// Group that the record belongs to.
         group: GroupNumber,
-        /// The asking front's version of that group's member list.
+        /// Version of the group's member list that the front uses.
         members_version: u64,
-        /// What the front has under way.
+        /// The front's observations of replicas.
         load: LoadReport,
-        /// For reservations: where the turn is to run.
+        /// For a reservation, the replica on which the turn will run.
         placement: Option<Placement>,
-        /// What to keep.
+        /// Record to store.
         record: Record,
     },
-    /// Read the chain that ends in this turn.
+    /// Reads the chain that ends in a turn.
     Chain {
-        /// The group as whose member the store is asked.
+        /// Group of which the store is addressed as a member.
         group: GroupNumber,
-        /// The asking front's version of that group's member list.
+        /// Version of the group's member list that the front uses.
         members_version: u64,
         /// Last turn of the chain.
         turn: Text,
     },
-    /// Digests of the records from a position on.
+    /// Reads the digests of the records from a journal position on.
     Digests {
-        /// The group as whose member the store is asked.
+        /// Group of which the store is addressed as a member.
         group: GroupNumber,
-        /// The asking store's version of that group's member list.
+        /// Version of the group's member list that the requesting store uses.
         members_version: u64,
-        /// Machine that asks.
+        /// Machine name of the requesting store.
         node: Text,
-        /// Where it goes on; a position of another journal starts anew.
+        /// Position to read from; a position in another journal restarts from the
+        /// beginning.
         from: JournalPosition,
-        /// Position up to which the asker holds everything on its own disk.
+        /// Position up to which the requesting store holds every record on its own disk.
         held: JournalPosition,
     },
-    /// The store groups as the key-value service took them, for a store that goes by
-    /// older ones: the service may turn it away.
+    /// Reports newer store groups, as accepted by the key-value service, to a store that
+    /// may not be able to reach the service.
     NewerStoreGroups(StoreGroups),
-    /// A turn of the group is to run elsewhere than was said.
+    /// Reports that a turn of the group will run on another replica than reserved.
     TurnPlaced {
-        /// The turn, by its key (`TurnKey`).
+        /// Key of the turn (`TurnKey`).
         turn: u64,
-        /// Where it runs.
+        /// Replica on which the turn will run.
         placement: Placement,
     },
-    /// A turn of the group is over, and no record says so.
+    /// Reports that a turn of the group has ended without a record.
     TurnEnded {
-        /// The turn, by its key (`TurnKey`).
+        /// Key of the turn (`TurnKey`).
         turn: u64,
     },
-    /// May a request of a tenant be made? Counted if so.
+    /// Asks whether a tenant may make a request, and counts the request if it may.
     Quota(QuotaRequest),
-    /// Another owner has granted it.
+    /// Reports a request that another owner granted.
     QuotaGranted(QuotaRequest),
-    /// A request that this store has granted was not run.
+    /// Refunds a request that this store granted and that was not run.
     QuotaRefund {
         /// Hash of the tenant's name.
         tenant: u64,
-        /// Where it was counted.
+        /// Identifies the granted request.
         receipt: QuotaReceipt,
     },
-    /// Whether the store is there.
+    /// Checks that the store answers.
     Ping,
-    /// Items of the key-value service, for a front that starts while the
-    /// service is down.
+    /// Reads the stored items of the key-value service, for a front that starts during a
+    /// service outage.
     Items,
-    /// What has changed in the key-value service's directory after a revision.
+    /// Reads the directory changes after a revision.
     Changes {
-        /// Up to where the asker knows it.
+        /// Revision up to which the requester knows the directory.
         after: u64,
     },
-    /// The configuration, from a linearizable read of a moment ago.
+    /// Reads the routing configuration from a recent linearizable read.
     Routes,
-    /// The whole directory.
+    /// Reads the whole directory.
     Directory,
-    /// Which other stores there are, for a front that knows only those that its
-    /// settings name.
+    /// Reads the addresses of all stores, for a front that only knows those in its
+    /// settings.
     Stores,
-    /// Records by their digests.
+    /// Reads records by their digests.
     Fetch {
-        /// Which records.
+        /// Digests of the records to read.
         digests: List<RecordDigest>,
     },
 }
 
-/// What a store answers.
+/// A store's reply to a request.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum Reply {
-    /// The record is on the disk.
+    /// The record is synced to disk.
     Stored {
-        /// Whether this store holds everything it ever acknowledged.
+        /// Whether the store holds every record that it ever acknowledged.
         complete: bool,
-        /// The program's ledger; filled for reservations.
+        /// Ledger of the program; only filled for reservations.
         ledger: List<LedgerEntry>,
-        /// What all other fronts have seen; filled for reservations.
+        /// Observations of all other fronts; only filled for reservations.
         other_fronts: OtherFrontsReport,
-        /// Up to where this store knows the key-value service's directory.
+        /// Revision up to which the store knows the directory, and its age.
         directory: DirectoryMark,
     },
-    /// Parts of a chain, newest first.
+    /// Turns of a chain, newest first.
     Chain {
-        /// Whether this store vouches for what it misses: it is a complete member
-        /// of the group that was asked, and the asker's list is not too old.
+        /// Whether a missing turn is known not to exist here: the store is a complete
+        /// member of the group, and the requester's member list is recent enough.
         complete: bool,
-        /// Parts from the asked turn backwards.
+        /// Turns from the requested one backwards.
         parts: List<ChainPart>,
-        /// First turn that this store does not hold; empty if the chain is
-        /// whole.
+        /// First turn that the store does not hold; empty if the chain is complete.
         missing: Text,
     },
-    /// A page of digests.
+    /// One page of record digests.
     Digests {
         /// Position after the page.
         next: JournalPosition,
-        /// Whether the journal goes on after the page.
+        /// Whether the journal continues after the page.
         more: bool,
-        /// Whether this store vouches for what it misses, as for chains.
+        /// Whether digests that are not listed are known not to be held, as for `Chain`.
         complete: bool,
-        /// The version of the group's member list that this store goes by.
+        /// Version of the group's member list that the store uses.
         members_version: u64,
-        /// Up to where this store knows the key-value service's directory.
+        /// Revision up to which the store knows the directory, and its age.
         directory: DirectoryMark,
-        /// Members that don't answer this store.
+        /// Members that do not answer the store.
         silent: List<SilentPeer>,
-        /// In journal order.
+        /// Digests in journal order.
         digests: List<RecordDigest>,
     },
-    /// Whether a request may be made.
+    /// Decision on a tenant's request.
     Quota(QuotaReply),
-    /// The store is there, and has heard.
+    /// The store is up, or has applied the report that it received.
     Pong,
-    /// Items as last seen.
+    /// Items of the key-value service, as last read by the store.
     Items(List<DirectoryItem>),
-    /// Changes of the directory.
+    /// Changes to the directory.
     Changes {
-        /// Whether all changes after the revision that was asked for are known.
+        /// Whether the store knows every change after the requested revision.
         known: bool,
-        /// In the order of their revisions.
+        /// Changes in the order of their revisions.
         changes: List<DirectoryChange>,
-        /// Up to where they go.
+        /// How recent the store's copy is.
         mark: CopyFreshness,
     },
-    /// The configuration.
+    /// The routing configuration.
     Routes {
-        /// Its item.
+        /// Item that holds the configuration.
         item: DirectoryItem,
-        /// How long ago the read began that it rests on, in milliseconds.
+        /// Time in milliseconds since the underlying read started.
         age_milliseconds: u32,
     },
     /// The whole directory.
     Directory {
-        /// All items.
+        /// All items of the directory.
         items: List<DirectoryItem>,
-        /// Up to where they go.
+        /// How recent the store's copy is.
         mark: CopyFreshness,
     },
-    /// This store does not know the directory yet.
+    /// The store has no copy of the directory yet.
     DirectoryUnknown,
-    /// Addresses of all stores that this one knows.
+    /// Addresses of all stores that this store knows.
     Stores(List<Text>),
-    /// Records that were asked for.
+    /// Records read by their digests.
     Fetched {
-        /// The journal in which they stand.
+        /// Identifier of the journal that contains the records.
         journal: u64,
-        /// Those that could be read.
+        /// Records that could be read.
         records: List<Record>,
-        /// Those that are past their time and held no longer.
+        /// Digests of requested records that have expired here.
         expired: List<RecordDigest>,
     },
-    /// Nothing was done, or the store misses the turn and can't vouch for its
-    /// absence: the caller's member list is too old, or the store is no member of
-    /// the group. These are the groups as the store knows them.
+    /// The request was not carried out, or the store cannot tell whether a missing turn
+    /// exists: the requester's member list is too old, or the store is not a member of the
+    /// group. Carries the store groups that the store uses.
     StaleMembers(StoreGroups),
-    /// Nothing was done.
+    /// The request was not carried out.
     Refused(Refusal),
 }
 
-/// Why a store refused a record.
+/// The reason why a store refused a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum Refusal {
-    /// This store is not a member.
+    /// The store is not a member of the group.
     NotAMember,
-    /// The disk takes no more.
+    /// The disk failed, or too many writes are waiting for it.
     DiskRefused,
-    /// The store's memory holds no more until older records have expired.
+    /// The store's memory is full until older records expire.
     MemoryFull,
 }
 
-/// A message with the number that pairs it with its answer.
+/// A message with the number that matches a reply to its request.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct Numbered<T> {
-    /// Chosen by the caller; unique on a connection.
+    /// Number chosen by the requester, unique on a connection.
     pub number: u64,
-    /// The message.
+    /// The message itself.
     pub content: T,
 }
--- a/crates/stageyoke-store/src/peer_sync.rs
+++ b/crates/stageyoke-store/src/peer_sync.rs
@@ -48,7 +48,7 @@
         let mut silent = silent.iter();
         let told = silent.find(|silent| silent.node.as_str() == node);
         told.map_or(Duration::ZERO, |told| {
-            Duration::from_millis(u64::from(told.milliseconds))
+            Duration::from_millis(u64::from(told.silent_milliseconds))
         })
     }
 }
--- a/crates/stageyoke-store/src/peer_version.rs
+++ b/crates/stageyoke-store/src/peer_version.rs
@@ -1,4 +1,4 @@
-//! Which version the other end of a connection speaks.
+//! Protocol version of the peer on a connection.
 
 use std::cell::{Cell, RefCell};
 
@@ -7,51 +7,52 @@
 
 use crate::extension::{ExtensionFields, FIRST_VERSION, VERSION};
 
-/// The other end of one connection. Its first message tells its version, or that it
-/// knows of none.
+/// The negotiated state of one connection. A peer sends its version with its first message;
+/// a peer of version 1 sends none.
 #[derive(Debug)]
 pub struct PeerVersion {
     peer: String,
     version: Cell<Option<u16>>,
-    greeted: Cell<bool>,
-    older: RefCell<Option<OlderPeer>>,
+    version_sent: Cell<bool>,
+    older_peer: RefCell<Option<OlderPeer>>,
 }
 
 impl PeerVersion {
-    /// A peer, by its address, that has said nothing yet.
+    /// Creates the state for the peer at this address, before any message has arrived.
     pub fn unknown(peer: String) -> Self {
         Self {
             peer,
             version: Cell::new(None),
-            greeted: Cell::new(false),
-            older: RefCell::default(),
+            version_sent: Cell::new(false),
+            older_peer: RefCell::default(),
         }
     }
 
-    /// Takes what came with a message of the peer.
-    pub fn record_greeting(&self, extensions: &ExtensionFields) {
+    /// Records the version that came with the peer's first message.
+    pub fn record_greeting(&self, fields: &ExtensionFields) {
         if self.version.get().is_some() {
             return;
         }
-        let version = extensions.version.unwrap_or(FIRST_VERSION);
+        let version = fields.version.unwrap_or(FIRST_VERSION);
         self.version.set(Some(version));
         if version < VERSION {
-            let older = OlderPeer::count(&self.peer, version);
-            self.older.replace(Some(older));
+            let older_peer = OlderPeer::count(&self.peer, version);
+            self.older_peer.replace(Some(older_peer));
         }
     }
 
-    /// Whether the peer has told that it reads fields behind messages.
+    /// Returns whether the peer is known to read extension fields.
     pub fn reads_extension_fields(&self) -> bool {
         self.version
             .get()
             .is_some_and(|version| version > FIRST_VERSION)
     }
 
-    /// What goes behind a message to the peer: the greeting behind the first one, which
-    /// a reader of version 1 leaves, and these fields if the peer reads any.
+    /// Returns the extension fields to send with the next message: this build's version if
+    /// it is the first one, which a reader of version 1 ignores, and `fields` if the peer
+    /// reads them.
     pub fn fields_for_next_message(&self, fields: &ExtensionFields) -> ExtensionFields {
-        let version = (!self.greeted.replace(true)).then_some(VERSION);
+        let version = (!self.version_sent.replace(true)).then_some(VERSION);
         match self.reads_extension_fields() {
             true => ExtensionFields {
                 version,
@@ -65,15 +66,15 @@
     }
 }
 
-/// A connection with a peer of an older version, counted as long as it lasts.
+/// A connection to a peer of an older version, counted in the metrics until it is dropped.
 #[derive(Debug)]
 struct OlderPeer;
 
 impl OlderPeer {
     fn count(peer: &str, version: u16) -> Self {
-        let older = &observe::metrics().older_peers;
-        older.inc();
-        if older.get() == 1 {
+        let connections = &observe::metrics().older_peers;
+        connections.inc();
+        if connections.get() == 1 {
             let detail = format!("peer={peer} version={version} own={VERSION}");
             observe::event(Event::OlderPeer, &detail);
         }
@@ -83,9 +84,9 @@
 
 impl Drop for OlderPeer {
     fn drop(&mut self) {
-        let older = &observe::metrics().older_peers;
-        older.dec();
-        if older.get() == 0 {
+        let connections = &observe::metrics().older_peers;
+        connections.dec();
+        if connections.get() == 0 {
             observe::event(Event::OlderPeersGone, &format!("own={VERSION}"));
         }
     }
--- a/crates/stageyoke-store/src/record_reader.rs
+++ b/crates/stageyoke-store/src/record_reader.rs
@@ -1,5 +1,4 @@
-//! The thread that reads records back from the disk: a disk that hangs holds
-//! up what is read, and nothing else.
+//! Thread that reads records from disk, so that a hanging disk only delays reads.
 
 use std::io;
 use std::sync::mpsc;
@@ -11,7 +10,7 @@
 
 enum Command {
     Records {
-        places: Vec<RecordLocation>,
+        locations: Vec<RecordLocation>,
         reply: oneshot::Sender<Vec<io::Result<Record>>>,
     },
     Segment {
@@ -20,52 +19,54 @@
     },
 }
 
-/// Sends work to the reading thread.
+/// Handle to the reader thread.
 #[derive(Clone, Debug)]
 pub struct RecordReader {
     commands: mpsc::Sender<Command>,
 }
 
 impl RecordReader {
-    /// Starts the thread.
+    /// Starts the reader thread.
     pub fn start(folder: DataFolder) -> io::Result<Self> {
-        let (commands, inbox) = mpsc::channel();
+        let (commands, receiver) = mpsc::channel();
         std::thread::Builder::new()
             .name("reader".to_owned())
             .stack_size(256 * 1024)
-            .spawn(move || run(&folder, &inbox))?;
+            .spawn(move || run(&folder, &receiver))?;
         Ok(Self { commands })
     }
 
-    /// Reads the records at these places, each with its own outcome.
-    pub async fn records(&self, places: Vec<RecordLocation>) -> Vec<io::Result<Record>> {
-        let count = places.len();
-        let (reply, answer) = oneshot::channel();
-        let _ = self.commands.send(Command::Records { places, reply });
-        let ended = || Err(io::ErrorKind::BrokenPipe.into());
-        let answer = answer.await;
-        answer.unwrap_or_else(|_| (0..count).map(|_| ended()).collect())
+    /// Reads the records at these locations; each has its own result.
+    pub async fn records(&self, locations: Vec<RecordLocation>) -> Vec<io::Result<Record>> {
+        let count = locations.len();
+        let (reply, result) = oneshot::channel();
+        let _ = self.commands.send(Command::Records { locations, reply });
+        let thread_ended = || Err(io::ErrorKind::BrokenPipe.into());
+        let result = result.await;
+        result.unwrap_or_else(|_| (0..count).map(|_| thread_ended()).collect())
     }
 
-    /// Reads a whole segment: at most its size is in memory at once.
+    /// Reads all records of a segment into memory.
     pub async fn segment(&self, number: u64) -> io::Result<Vec<Record>> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, result) = oneshot::channel();
         let _ = self.commands.send(Command::Segment { number, reply });
-        answer
+        result
             .await
             .unwrap_or_else(|_| Err(io::ErrorKind::BrokenPipe.into()))
     }
 }
 
-fn run(folder: &DataFolder, inbox: &mpsc::Receiver<Command>) {
-    while let Ok(command) = inbox.recv() {
+fn run(folder: &DataFolder, commands: &mpsc::Receiver<Command>) {
+    while let Ok(command) = commands.recv() {
         match command {
-            Command::Records { places, reply } => {
-                // Whoever asked may have left meanwhile.
+            Command::Records { locations, reply } => {
+                // The requester may have given up in the meantime.
                 if reply.is_closed() {
                     continue;
                 }
-                let records = places.iter().map(|place| folder.read_record(*place));
+                let records = locations
+                    .iter()
+                    .map(|location| folder.read_record(*location));
                 let _ = reply.send(records.collect());
             }
             Command::Segment { number, reply } => {
--- a/crates/stageyoke-store/src/segment.rs
+++ b/crates/stageyoke-store/src/segment.rs
@@ -1,5 +1,5 @@
-//! Files of the data folder: numbered segments of checksummed records, the
-//! disk's identity, the mark of completeness and the last store groups.
+//! Files in a store's data folder: numbered segments of checksummed records, the disk's
+//! identity, the completeness mark, the last store groups and the last directory items.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, BufReader, Read, Seek, SeekFrom, Write};
@@ -15,8 +15,8 @@
 use crate::state::StoreState;
 
 const HEADER_BYTES: usize = 8;
-/// Bytes of a segment that a scan reads ahead.
-const SCAN_BYTES: usize = 64 * 1024;
+/// Read buffer size of a segment scan.
+const SCAN_BUFFER_BYTES: usize = 64 * 1024;
 const SEGMENT_PREFIX: &str = "segment-";
 const IDENTITY_FILE: &str = "identity";
 const COMPLETE_FILE: &str = "complete";
@@ -24,7 +24,7 @@
 const ITEMS_FILE: &str = "items";
 const TEMPORARY_SUFFIX: &str = ".new";
 
-/// Appends one record with its length and checksum.
+/// Appends one record, preceded by its length and checksum.
 pub fn encode_record(record: &Record, output: &mut Vec<u8>) {
     let start = output.len();
     output.extend_from_slice(&[0; HEADER_BYTES]);
@@ -36,12 +36,12 @@
     output[start + 4..start + HEADER_BYTES].copy_from_slice(&checksum.to_le_bytes());
 }
 
-/// The record that gives a segment's start by the disk's clock.
+/// Appends the clock record that starts a segment.
 pub fn encode_clock(seconds: u64, output: &mut Vec<u8>) {
     encode_record(&Record::Clock { seconds }, output);
 }
 
-/// Records up to the first that is torn or damaged, and whether one was.
+/// Decodes records up to the first torn or damaged one; also returns whether there was one.
 pub fn decode_records(bytes: &[u8]) -> (Vec<Record>, bool) {
     let mut scan = RecordScan::new(bytes, bytes.len() as u64);
     let scanned = scan.by_ref().map_while(Result::ok);
@@ -49,30 +49,30 @@
     (records, scan.is_damaged())
 }
 
-/// Where a record lies on the disk.
+/// Location of a record on disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RecordLocation {
-    /// Number of the segment: 32 bits last for centuries of a segment a second.
+    /// Number of the segment file.
     pub segment: u32,
-    /// Bytes before the record's header.
+    /// Offset of the record's header in the file, in bytes.
     pub offset: u32,
-    /// Bytes of header and content.
+    /// Length of header and content, in bytes.
     pub length: u32,
 }
 
-/// A record with its place in the bytes that were scanned.
+/// A record and its position in the scanned bytes.
 #[derive(Clone, Debug)]
 pub struct ScannedRecord {
-    /// The record.
+    /// The decoded record.
     pub record: Record,
-    /// Bytes before its header.
+    /// Offset of the record's header, in bytes.
     pub offset: u32,
-    /// Bytes of header and content.
+    /// Length of header and content, in bytes.
     pub length: u32,
 }
 
-/// Reads records one by one: no more than one is in memory. Ends at the first
-/// that is torn or damaged.
+/// Iterator over encoded records that holds one at a time in memory. Ends at the first torn
+/// or damaged record.
 pub struct RecordScan<R> {
     input: R,
     offset: u64,
@@ -81,7 +81,7 @@
 }
 
 impl<R: Read> RecordScan<R> {
-    /// Scans an input of so many bytes.
+    /// Scans an input of `length` bytes.
     pub fn new(input: R, length: u64) -> Self {
         Self {
             input,
@@ -91,34 +91,34 @@
         }
     }
 
-    /// Whether the scan ended at damage.
+    /// Returns whether the scan ended at a torn or damaged record.
     pub fn is_damaged(&self) -> bool {
         self.damaged
     }
 
-    /// The next record; `None` at damage.
+    /// Reads the next record; `None` if it is torn or damaged.
     fn read(&mut self) -> io::Result<Option<ScannedRecord>> {
-        let left = self.length - self.offset;
+        let remaining = self.length - self.offset;
         let mut header = [0; HEADER_BYTES];
-        if left < HEADER_BYTES as u64 {
+        if remaining < HEADER_BYTES as u64 {
             return Ok(None);
         }
         self.input.read_exact(&mut header)?;
         let (length, checksum) = decode_header(header);
-        // A torn length may name anything: memory is taken for what is there.
-        if u64::from(length) > left - HEADER_BYTES as u64 {
+        // A torn header may contain any length, so check it before allocating.
+        if u64::from(length) > remaining - HEADER_BYTES as u64 {
             return Ok(None);
         }
         let mut content = vec![0; length as usize];
         self.input.read_exact(&mut content)?;
         let record = decode_content(&content, checksum);
-        let whole = HEADER_BYTES as u32 + length;
+        let record_bytes = HEADER_BYTES as u32 + length;
         let offset = u32::try_from(self.offset).map_err(|_| io::ErrorKind::FileTooLarge)?;
-        self.offset += u64::from(whole);
+        self.offset += u64::from(record_bytes);
         Ok(record.map(|record| ScannedRecord {
             record,
             offset,
-            length: whole,
+            length: record_bytes,
         }))
     }
 }
@@ -144,7 +144,7 @@
 }
 
 fn decode_content(content: &[u8], checksum: u32) -> Option<Record> {
-    // An empty content never stands for a record: zeroed bytes are damage.
+    // No record has empty content, so a zeroed header with a matching checksum is damage.
     if content.is_empty() || crc32fast::hash(content) != checksum {
         return None;
     }
@@ -157,56 +157,57 @@
     path: PathBuf,
 }
 
-/// A segment and how much of it counts.
+/// A segment file and the extent of its valid records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SegmentUsage {
-    /// Number of its file.
+    /// Number of the segment file.
     pub number: u64,
-    /// Records in it.
+    /// Number of valid records, not counting the clock record.
     pub records: usize,
-    /// When the last of them was written at the latest, by the disk's clock.
+    /// Latest time by the disk's clock at which its last record can have been written, in
+    /// seconds.
     pub last_write: u64,
 }
 
-/// What a start found.
+/// What recovery found in a data folder.
 #[derive(Debug)]
 pub struct Recovered {
-    /// Identity of the disk, which a lost one does not share with its successor.
+    /// Identity of the disk; a replacement for a lost disk gets another one.
     pub disk: u64,
     /// Index of all records.
     pub state: StoreState,
-    /// For which group the disk holds everything that it ever acknowledged.
+    /// Group for which the disk holds every record that it ever acknowledged.
     pub completeness: Completeness,
     /// Segments, oldest first.
     pub segments: Vec<SegmentUsage>,
-    /// Segments that ended in a torn record.
+    /// Number of segments that end in a torn record.
     pub torn_segments: usize,
-    /// Bytes of all segments.
+    /// Total size of the segments in bytes.
     pub bytes: u64,
-    /// Seconds of the disk's clock.
-    pub clock: u64,
-    /// Store groups that were last known.
+    /// Last recorded reading of the disk's clock, in seconds.
+    pub clock_seconds: u64,
+    /// Store groups that were last saved.
     pub stores: Option<StoreGroups>,
 }
 
 impl Recovered {
-    /// A segment began at this time: what stands in the segments before it was
-    /// written earlier.
-    fn start_segment_at(&mut self, seconds: u64) {
-        self.clock = self.clock.max(seconds);
+    /// Applies the clock record at the start of a segment: the segment before it was last
+    /// written no later than this.
+    fn apply_segment_clock(&mut self, seconds: u64) {
+        self.clock_seconds = self.clock_seconds.max(seconds);
         if let Some(last) = self.segments.last_mut() {
-            last.last_write = self.clock;
+            last.last_write = self.clock_seconds;
         }
     }
 
-    /// Number of the next segment.
+    /// Returns the number of the next segment to create.
     pub fn next_segment(&self) -> u64 {
         self.segments.last().map_or(0, |last| last.number + 1)
     }
 }
 
 impl DataFolder {
-    /// Opens the folder, creating it if need be.
+    /// Opens the folder, creating it if it does not exist.
     pub fn open(path: &Path) -> io::Result<Self> {
         fs::create_dir_all(path)?;
         Ok(Self {
@@ -214,64 +215,67 @@
         })
     }
 
-    /// Reads everything. `drawn` names the journal of this life; an empty folder counts as
-    /// complete only where `first_start` holds.
-    pub fn recover(&self, drawn: u64, first_start: bool) -> io::Result<Recovered> {
+    /// Recovers everything in the folder. `journal_identifier` identifies this process's
+    /// journal, and also the disk if it has no identity yet. An empty folder
+    /// only counts as complete if `first_start` is set.
+    pub fn recover(&self, journal_identifier: u64, first_start: bool) -> io::Result<Recovered> {
         let identity = self.read_identity()?;
         let numbers = self.segment_numbers()?;
-        let fresh = identity.is_none() && numbers.is_empty();
-        if fresh && first_start {
+        let is_new = identity.is_none() && numbers.is_empty();
+        if is_new && first_start {
             self.mark_complete(Completeness::SinceFormation)?;
         }
-        // The identity comes last: a start that is cut short before it has
-        // acknowledged nothing, and its mark of completeness holds.
+        // The identity is written last. If the process dies before, it has acknowledged
+        // nothing, and the completeness mark is still valid.
         if identity.is_none() {
-            self.replace(IDENTITY_FILE, &drawn.to_le_bytes())?;
+            self.replace(IDENTITY_FILE, &journal_identifier.to_le_bytes())?;
         }
-        let marked = match identity.is_some() || fresh {
+        let completeness = match identity.is_some() || is_new {
             true => self.read_completeness()?,
             false => Completeness::Incomplete,
         };
         let mut recovered = Recovered {
-            disk: identity.unwrap_or(drawn),
-            state: StoreState::new(drawn),
-            completeness: marked,
+            disk: identity.unwrap_or(journal_identifier),
+            state: StoreState::new(journal_identifier),
+            completeness,
             segments: Vec::new(),
             torn_segments: 0,
             bytes: 0,
-            clock: 0,
+            clock_seconds: 0,
             stores: self.read_stores(),
         };
         for number in numbers {
             self.recover_segment(number, &mut recovered)?;
         }
-        // A process that was killed may have left names unsynced: what is told by them now
-        // must outlive a loss of power.
+        // A killed process may have left directory entries unsynced. What this process
+        // reports from them must survive a power loss.
         self.sync_folder()?;
         Ok(recovered)
     }
 
-    /// Indexes one segment, record by record.
+    /// Adds one segment's records to the index.
     fn recover_segment(&self, number: u64, recovered: &mut Recovered) -> io::Result<()> {
         let (file, length) = self.open_segment(number)?;
-        // The last process may have been killed between a write and its sync; what is found
-        // here is acknowledged again without another write.
+        // A killed process may have written records without syncing them. They are
+        // acknowledged from now on without another write.
         file.sync_data()?;
-        let mut scan = RecordScan::new(BufReader::with_capacity(SCAN_BYTES, file), length);
+        let mut scan = RecordScan::new(BufReader::with_capacity(SCAN_BUFFER_BYTES, file), length);
         let mut records = 0;
         let segment = u32::try_from(number).map_err(|_| io::ErrorKind::InvalidData)?;
         for scanned in scan.by_ref() {
             let scanned = scanned?;
             if let Record::Clock { seconds } = scanned.record {
-                recovered.start_segment_at(seconds);
+                recovered.apply_segment_clock(seconds);
                 continue;
             }
-            let place = RecordLocation {
+            let location = RecordLocation {
                 segment,
                 offset: scanned.offset,
                 length: scanned.length,
             };
-            recovered.state.add(&scanned.record, place, recovered.clock);
+            recovered
+                .state
+                .add(&scanned.record, location, recovered.clock_seconds);
             records += 1;
         }
         recovered.torn_segments += usize::from(scan.is_damaged());
@@ -279,7 +283,7 @@
         recovered.segments.push(SegmentUsage {
             number,
             records,
-            last_write: recovered.clock,
+            last_write: recovered.clock_seconds,
         });
         Ok(())
     }
@@ -290,11 +294,11 @@
         Ok((file, length))
     }
 
-    /// Reads one record back.
-    pub fn read_record(&self, place: RecordLocation) -> io::Result<Record> {
-        let mut file = File::open(self.path.join(segment_name(u64::from(place.segment))))?;
-        file.seek(SeekFrom::Start(u64::from(place.offset)))?;
-        let mut bytes = vec![0; place.length as usize];
+    /// Reads one record.
+    pub fn read_record(&self, location: RecordLocation) -> io::Result<Record> {
+        let mut file = File::open(self.path.join(segment_name(u64::from(location.segment))))?;
+        file.seek(SeekFrom::Start(u64::from(location.offset)))?;
+        let mut bytes = vec![0; location.length as usize];
         file.read_exact(&mut bytes)?;
         let mut scan = RecordScan::new(bytes.as_slice(), bytes.len() as u64);
         let scanned = scan
@@ -303,17 +307,16 @@
         scanned.map(|scanned| scanned.record)
     }
 
-    /// Reads a segment's records up to its damage, if there is any.
+    /// Reads a segment's records up to a torn or damaged one.
     pub fn read_segment(&self, number: u64) -> io::Result<Vec<Record>> {
         let (file, length) = self.open_segment(number)?;
-        RecordScan::new(BufReader::with_capacity(SCAN_BYTES, file), length)
+        RecordScan::new(BufReader::with_capacity(SCAN_BUFFER_BYTES, file), length)
             .map(|scanned| scanned.map(|scanned| scanned.record))
             .filter(|record| !matches!(record, Ok(Record::Clock { .. })))
             .collect()
     }
 
-    /// Records for which group the disk now holds everything that it ever
-    /// acknowledged.
+    /// Saves the group for which the disk holds every record that it ever acknowledged.
     pub fn mark_complete(&self, completeness: Completeness) -> io::Result<()> {
         let Some(mark) = completeness.mark() else {
             fs::remove_file(self.path.join(COMPLETE_FILE))?;
@@ -322,17 +325,17 @@
         self.replace(COMPLETE_FILE, mark.as_bytes())
     }
 
-    /// Keeps the store groups for a start while the service is down.
+    /// Saves the store groups for a start during a service outage.
     pub fn save_stores(&self, stores: &StoreGroups) -> io::Result<()> {
         self.replace(STORES_FILE, &stores.serialize_bin())
     }
 
-    /// Keeps the items of the key-value service for such a start.
+    /// Saves the items of the key-value service for a start during a service outage.
     pub fn save_items(&self, items: &List<DirectoryItem>) -> io::Result<()> {
         self.replace(ITEMS_FILE, &items.serialize_bin())
     }
 
-    /// The items that were last kept.
+    /// Returns the items that were last saved.
     pub fn read_items(&self) -> List<DirectoryItem> {
         self.read_file(ITEMS_FILE)
             .ok()
@@ -340,7 +343,7 @@
             .unwrap_or_default()
     }
 
-    /// Creates a segment and makes its name last.
+    /// Creates a segment file and syncs its directory entry.
     pub fn create_segment(&self, number: u64) -> io::Result<File> {
         let file = OpenOptions::new()
             .create(true)
@@ -352,17 +355,17 @@
         Ok(file)
     }
 
-    /// Removes a segment.
+    /// Removes a segment file.
     pub fn remove_segment(&self, number: u64) -> io::Result<()> {
         fs::remove_file(self.path.join(segment_name(number)))
     }
 
-    /// Numbers of all segments, ascending.
+    /// Returns the numbers of all segments in ascending order.
     pub fn segment_numbers(&self) -> io::Result<Vec<u64>> {
         let mut numbers = Vec::new();
         for entry in fs::read_dir(&self.path)? {
             let entry = entry?;
-            // What is no file of its own was not written by a store.
+            // Only regular files are segments.
             if !entry.file_type()?.is_file() {
                 continue;
             }
--- a/crates/stageyoke-store/src/server.rs
+++ b/crates/stageyoke-store/src/server.rs
@@ -1,4 +1,4 @@
-//! Answers fronts and other stores over their connections.
+//! Server for the connections of fronts and other stores.
 
 use std::io;
 use std::rc::Rc;
@@ -16,11 +16,11 @@
 use crate::peer_version::PeerVersion;
 use crate::socket;
 
-/// Requests of one connection that are answered at once; more wait in the
-/// sockets. Fronts have some tens under way with a store.
-const MOST_UNDER_WAY: usize = 128;
+/// Maximum number of requests of one connection that are handled at once; further requests
+/// wait in the socket buffers.
+const MAX_IN_FLIGHT_REQUESTS: usize = 128;
 
-/// Accepts connections for ever.
+/// Accepts connections until the task is dropped.
 pub async fn serve(local_store: Rc<LocalStore>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -39,9 +39,9 @@
         .map_or_else(|error| error.to_string(), |peer| peer.to_string());
     let peer = Rc::new(PeerVersion::unknown(address.clone()));
     let (reader, writer) = stream.into_split();
-    let (replies, outbox) = unbounded_channel();
-    let sending = tokio::task::spawn_local(frame::write_queued_frames(writer, outbox));
-    let under_way = Arc::new(Semaphore::new(MOST_UNDER_WAY));
+    let (replies, queued_replies) = unbounded_channel();
+    let send_task = tokio::task::spawn_local(frame::write_queued_frames(writer, queued_replies));
+    let in_flight = Arc::new(Semaphore::new(MAX_IN_FLIGHT_REQUESTS));
     let mut reader = BufReader::new(reader);
     let error = loop {
         let received = match frame::read_with_fields::<Request>(&mut reader).await {
@@ -50,61 +50,69 @@
         };
         let Received {
             message,
-            extension_fields: extensions,
+            extension_fields,
         } = received;
-        peer.record_greeting(&extensions);
-        let fields = local_store.apply_request_fields(&message.content, extensions);
-        let Ok(room) = under_way.clone().acquire_owned().await else {
+        peer.record_greeting(&extension_fields);
+        let requested_fields = local_store.apply_request_fields(&message.content, extension_fields);
+        let Ok(permit) = in_flight.clone().acquire_owned().await else {
             break io::ErrorKind::ConnectionAborted.into();
         };
-        let behind = Behind {
-            fields,
+        let context = ReplyContext {
+            requested_fields,
             peer: peer.clone(),
         };
-        let answering = answer_one(local_store.clone(), message, behind, room, replies.clone());
-        tokio::task::spawn_local(answering);
+        let handling = handle_one(
+            local_store.clone(),
+            message,
+            context,
+            permit,
+            replies.clone(),
+        );
+        tokio::task::spawn_local(handling);
     };
     frame::log_read_error(&address, &error);
-    sending.abort();
+    send_task.abort();
 }
 
-/// What goes behind a reply, and to whom.
-struct Behind {
-    fields: RequestedFields,
+/// The extension fields to send with a reply, and the peer that receives them.
+struct ReplyContext {
+    requested_fields: RequestedFields,
     peer: Rc<PeerVersion>,
 }
 
-/// An encoded reply. It holds its part of the connection's room until it is
-/// written.
-struct Outgoing {
+/// An encoded reply, which holds its permit until it is written.
+struct EncodedReply {
     bytes: Vec<u8>,
-    _room: OwnedSemaphorePermit,
+    _permit: OwnedSemaphorePermit,
 }
 
-impl AsRef<[u8]> for Outgoing {
+impl AsRef<[u8]> for EncodedReply {
     fn as_ref(&self) -> &[u8] {
         &self.bytes
     }
 }
 
-async fn answer_one(
+async fn handle_one(
     local_store: Rc<LocalStore>,
     request: Numbered<Request>,
-    behind: Behind,
-    room: OwnedSemaphorePermit,
-    replies: UnboundedSender<Outgoing>,
+    context: ReplyContext,
+    permit: OwnedSemaphorePermit,
+    replies: UnboundedSender<EncodedReply>,
 ) {
     let content = local_store.handle_request(request.content).await;
-    let extensions = match behind.peer.reads_extension_fields() {
-        true => behind
+    let extension_fields = match context.peer.reads_extension_fields() {
+        true => context
             .peer
-            .fields_for_next_message(&local_store.reply_fields(behind.fields)),
+            .fields_for_next_message(&local_store.reply_fields(context.requested_fields)),
         false => ExtensionFields::default(),
     };
     let reply = Numbered {
         number: request.number,
         content,
     };
-    let bytes = frame::encode_with_fields(&reply, &extensions);
-    let _ = replies.send(Outgoing { bytes, _room: room });
+    let bytes = frame::encode_with_fields(&reply, &extension_fields);
+    let _ = replies.send(EncodedReply {
+        bytes,
+        _permit: permit,
+    });
 }
--- a/crates/stageyoke-store/src/socket.rs
+++ b/crates/stageyoke-store/src/socket.rs
@@ -1,4 +1,4 @@
-//! Options of the product's own TCP connections.
+//! Options of the TCP connections between fronts and stores.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(2);
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const KEEPALIVE_PROBES: u32 = 2;
-/// How long sent bytes may stay unacknowledged before the connection ends.
+/// Time that sent data may stay unacknowledged before the connection is closed.
 pub const USER_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Sends at once, and notices a silent peer within seconds.
+/// Disables Nagle's algorithm and detects a dead peer within seconds.
 pub fn configure(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let socket = SockRef::from(stream);
--- a/crates/stageyoke-store/src/state.rs
+++ b/crates/stageyoke-store/src/state.rs
@@ -1,6 +1,6 @@
-//! What a store holds in memory: an index of the turns on its disk, ledgers,
-//! and the digests of its journal. Contents of turns stay on the disk, but for
-//! the newest. Pure; time is a reading of the disk's clock in seconds.
+//! In-memory state of a store: an index of the turns on disk, ledgers and the digests of
+//! the journal. Turn contents stay on disk, except for a cache of the newest ones. Performs
+//! no I/O; times are readings of the disk's clock in seconds.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -15,184 +15,185 @@
 use crate::recent_turns::RecentTurns;
 use crate::segment::RecordLocation;
 
-/// Digests in one page.
+/// Maximum number of digests in one page.
 pub const MAX_DIGESTS_PER_PAGE: usize = 4096;
-/// How long a program's ledger is kept after its last turn where no record has
-/// told a retention.
+/// Time for which a program's ledger is retained after its last turn if no stored turn has
+/// set a retention.
 pub const DEFAULT_LEDGER_RETENTION_SECONDS: u64 = 300;
-/// Seconds that a record is kept beyond its retention: a request that comes in
-/// time may take its deadline of some seconds, and is repeated once or twice.
+/// Time for which a record is retained beyond its retention, so that a request that arrives
+/// in time can still run up to its deadline and be retried.
 pub const RETENTION_MARGIN_SECONDS: u64 = 15;
-/// Bytes of the newest turns' contents, where nothing else is set.
+/// Default size of the cache of the newest turns' contents.
 const DEFAULT_RECENT_BYTES: usize = 4 * 1024 * 1024;
 
-// Bytes that each thing costs in memory: the sizes of the types over the maps'
-// mean load (0.66: between 7/8 and half of it), and the vectors' mean slack.
-const TURN_BYTES: usize = 64;
-const HELD_BYTES: usize = 40;
-const JOURNAL_BYTES: usize = 12;
+// Estimated memory per entry: the size of the types divided by the mean load factor of the
+// maps (0.66), and the mean unused capacity of the vectors.
+const TURN_INDEX_BYTES: usize = 64;
+const RECORD_INDEX_BYTES: usize = 40;
+const JOURNAL_DIGEST_BYTES: usize = 12;
 const LEDGER_BYTES: usize = 120;
-const ENTRY_BYTES: usize = 24;
+const LEDGER_ENTRY_BYTES: usize = 24;
 
 #[derive(Clone, Debug)]
-struct HeldTurn {
+struct TurnIndexEntry {
     previous: Option<TurnKey>,
-    place: RecordLocation,
-    keep_until: u64,
+    location: RecordLocation,
+    expires_at: u64,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Ledger {
-    /// In the order of the turns' first records. Programs have some hundred
-    /// turns at most, most of them a few.
+    /// Entries in the order of the turns' first records. Most programs have only a few
+    /// turns, so a linear search is fast enough.
     entries: Vec<LedgerEntry>,
-    keep_until: u64,
+    expires_at: u64,
 }
 
 impl Ledger {
-    /// The turn's entry, the newest first.
+    /// Finds the entry of a turn, searching from the newest.
     fn entry(&mut self, turn: TurnKey) -> Option<&mut LedgerEntry> {
         let mut entries = self.entries.iter_mut().rev();
         entries.find(|entry| entry.turn == turn.0)
     }
 }
 
-/// A record in the journal: how often, and where it was written last.
+/// The number of copies of a record in the journal, and the location of the last one.
 #[derive(Clone, Debug)]
-struct Holding {
+struct RecordIndexEntry {
     copies: u32,
-    place: RecordLocation,
+    location: RecordLocation,
 }
 
-/// One turn of a chain, as far as it is in memory.
+/// One turn of a chain and where its content is.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChainLink {
-    /// With its content.
+    /// The content is in memory.
     Cached(ChainPart),
-    /// The content must be read from the disk.
+    /// The content must be read from disk.
     OnDisk(RecordLocation),
 }
 
-/// Index of turns, ledgers and digests.
+/// Index of the turns on disk, ledgers and journal digests.
 #[derive(Debug)]
 pub struct StoreState {
     journal_identifier: u64,
-    first: u64,
+    first_number: u64,
     journal: VecDeque<RecordDigest>,
-    held: HashMap<RecordDigest, Holding>,
-    turns: HashMap<TurnKey, HeldTurn>,
+    records: HashMap<RecordDigest, RecordIndexEntry>,
+    turns: HashMap<TurnKey, TurnIndexEntry>,
     ledgers: HashMap<ProgramKey, Ledger>,
-    longest_retention: u64,
-    ledger_entries: usize,
-    recent: RecentTurns,
+    longest_retention_seconds: u64,
+    total_ledger_entries: usize,
+    recent_turns: RecentTurns,
 }
 
 impl StoreState {
-    /// An empty state; its journal has this identifier.
+    /// Creates an empty state whose journal has this identifier.
     pub fn new(journal_identifier: u64) -> Self {
         Self {
             journal_identifier,
-            first: 0,
+            first_number: 0,
             journal: VecDeque::new(),
-            held: HashMap::new(),
+            records: HashMap::new(),
             turns: HashMap::new(),
             ledgers: HashMap::new(),
-            longest_retention: 0,
-            ledger_entries: 0,
-            recent: RecentTurns::new(DEFAULT_RECENT_BYTES),
+            longest_retention_seconds: 0,
+            total_ledger_entries: 0,
+            recent_turns: RecentTurns::new(DEFAULT_RECENT_BYTES),
         }
     }
 
-    /// Keeps the newest turns' contents within so many bytes from now on.
+    /// Replaces the cache of the newest turns by an empty one of at most `bytes` bytes.
     pub fn set_recent_bytes(&mut self, bytes: usize) {
-        self.recent = RecentTurns::new(bytes);
+        self.recent_turns = RecentTurns::new(bytes);
     }
 
-    /// Whether a record with this digest is held.
+    /// Returns whether a record with this digest is stored.
     pub fn holds(&self, digest: RecordDigest) -> bool {
-        self.held.contains_key(&digest)
+        self.records.contains_key(&digest)
     }
 
-    /// Bytes of turns' inputs and outputs in memory.
+    /// Returns the size in bytes of the cached turns' inputs and outputs.
     pub fn cached_turn_bytes(&self) -> usize {
-        self.recent.bytes()
+        self.recent_turns.bytes()
     }
 
-    /// Entries of all ledgers in memory.
+    /// Returns the number of entries in all ledgers.
     pub fn ledger_entry_count(&self) -> usize {
-        self.ledger_entries
+        self.total_ledger_entries
     }
 
-    /// Bytes of memory that all of it takes, estimated from the counts.
+    /// Estimates the memory used by the whole state, in bytes.
     pub fn memory_bytes(&self) -> usize {
-        self.turns.len() * TURN_BYTES
-            + self.held.len() * HELD_BYTES
-            + self.journal.len() * JOURNAL_BYTES
+        self.turns.len() * TURN_INDEX_BYTES
+            + self.records.len() * RECORD_INDEX_BYTES
+            + self.journal.len() * JOURNAL_DIGEST_BYTES
             + self.ledgers.len() * LEDGER_BYTES
-            + self.ledger_entries * ENTRY_BYTES
-            + self.recent.bytes()
+            + self.total_ledger_entries * LEDGER_ENTRY_BYTES
+            + self.recent_turns.bytes()
     }
 
-    /// Seconds after its last write that a segment is looked at again.
+    /// Returns the time in seconds after its last write at which a segment may be expired.
     pub fn max_retention_seconds(&self) -> u64 {
-        self.longest_retention + RETENTION_MARGIN_SECONDS
+        self.longest_retention_seconds + RETENTION_MARGIN_SECONDS
     }
 
-    /// Seconds after its last turn that a program's ledger is kept: a program
-    /// may come back within the retention, and starts anew after it.
-    fn ledger_keep(&self) -> u64 {
-        match self.longest_retention {
+    /// Returns the time in seconds for which a program's ledger is retained after its last
+    /// turn. A program may continue within the retention of its turns and starts anew after
+    /// it.
+    fn ledger_retention_seconds(&self) -> u64 {
+        match self.longest_retention_seconds {
             0 => DEFAULT_LEDGER_RETENTION_SECONDS,
             _ => self.max_retention_seconds(),
         }
     }
 
-    /// Number of the record that will be added next.
+    /// Returns the journal position of the next record to be added.
     pub fn journal_end(&self) -> JournalPosition {
         JournalPosition {
             journal: self.journal_identifier,
-            next: self.first + self.journal.len() as u64,
+            next: self.first_number + self.journal.len() as u64,
         }
     }
 
-    /// Adds a record, which lies at `place`, at the end of the journal. The
-    /// caller has checked that it is not held, or has written it again.
-    pub fn add(&mut self, record: &Record, place: RecordLocation, now: u64) {
+    /// Appends a record to the journal. The caller has checked that the record is not
+    /// stored yet, or has written it again.
+    pub fn add(&mut self, record: &Record, location: RecordLocation, now: u64) {
         if matches!(record, Record::Clock { .. }) {
             return;
         }
         let digest = record.digest();
         self.journal.push_back(digest);
-        let holding = self
-            .held
-            .entry(digest)
-            .or_insert(Holding { copies: 0, place });
-        holding.copies += 1;
-        holding.place = place;
+        let indexed = self.records.entry(digest).or_insert(RecordIndexEntry {
+            copies: 0,
+            location,
+        });
+        indexed.copies += 1;
+        indexed.location = location;
         match record {
             Record::Reserve {
                 program,
                 turn,
-                max_tokens: most,
-            } => self.reserve(program, turn, *most, now),
+                max_tokens,
+            } => self.reserve(program, turn, *max_tokens, now),
             Record::Settle {
                 program,
                 turn,
-                used_tokens: used,
-            } => self.settle(program, TurnKey::of(turn), *used, now),
-            Record::Turn(turn) => self.add_turn(turn, place, now),
+                used_tokens,
+            } => self.settle(program, TurnKey::of(turn), *used_tokens, now),
+            Record::Turn(turn) => self.add_turn(turn, location, now),
             Record::Clock { .. } => {}
         }
     }
 
     fn ledger(&mut self, program: &Text, now: u64) -> &mut Ledger {
-        let keep_until = now + self.ledger_keep();
+        let expires_at = now + self.ledger_retention_seconds();
         let ledger = self.ledgers.entry(ProgramKey::of(program)).or_default();
-        ledger.keep_until = ledger.keep_until.max(keep_until);
+        ledger.expires_at = ledger.expires_at.max(expires_at);
         ledger
     }
 
-    fn reserve(&mut self, program: &Text, turn: &Text, most: u32, now: u64) {
+    fn reserve(&mut self, program: &Text, turn: &Text, max_tokens: u32, now: u64) {
         let turn = TurnKey::of(turn);
         let ledger = self.ledger(program, now);
         if ledger.entry(turn).is_some() {
@@ -200,189 +201,189 @@
         }
         ledger.entries.push(LedgerEntry {
             turn: turn.0,
-            amount: most,
+            amount: max_tokens,
             settled: false,
         });
-        self.ledger_entries += 1;
+        self.total_ledger_entries += 1;
     }
 
-    fn settle(&mut self, program: &Text, turn: TurnKey, used: u32, now: u64) {
+    fn settle(&mut self, program: &Text, turn: TurnKey, used_tokens: u32, now: u64) {
         if program.is_empty() {
             return;
         }
-        let settled = LedgerEntry {
+        let settled_entry = LedgerEntry {
             turn: turn.0,
-            amount: used,
+            amount: used_tokens,
             settled: true,
         };
         let ledger = self.ledger(program, now);
         match ledger.entry(turn) {
-            Some(entry) => *entry = settled,
+            Some(entry) => *entry = settled_entry,
             None => {
-                ledger.entries.push(settled);
-                self.ledger_entries += 1;
+                ledger.entries.push(settled_entry);
+                self.total_ledger_entries += 1;
             }
         }
     }
 
-    fn add_turn(&mut self, record: &TurnRecord, place: RecordLocation, now: u64) {
+    fn add_turn(&mut self, record: &TurnRecord, location: RecordLocation, now: u64) {
         let retention = u64::from(record.retention_seconds);
-        self.longest_retention = self.longest_retention.max(retention);
+        self.longest_retention_seconds = self.longest_retention_seconds.max(retention);
         let key = TurnKey::of(&record.turn);
         self.settle(&record.program, key, record.used_tokens, now);
-        let keep_until = now + retention + RETENTION_MARGIN_SECONDS;
+        let expires_at = now + retention + RETENTION_MARGIN_SECONDS;
         let previous = (!record.previous.is_empty()).then(|| TurnKey::of(&record.previous));
-        let held = self.turns.entry(key).or_insert(HeldTurn {
+        let indexed = self.turns.entry(key).or_insert(TurnIndexEntry {
             previous,
-            place,
-            keep_until,
+            location,
+            expires_at,
         });
-        held.place = place;
-        self.recent.insert(ChainPart {
+        indexed.location = location;
+        self.recent_turns.insert(ChainPart {
             turn: record.turn.clone(),
             previous: record.previous.clone(),
             input: record.input.clone(),
             output: record.output.clone(),
         });
-        self.keep_chain(key, keep_until);
+        self.extend_chain_retention(key, expires_at);
     }
 
-    fn keep_chain(&mut self, turn: TurnKey, keep_until: u64) {
+    fn extend_chain_retention(&mut self, turn: TurnKey, expires_at: u64) {
         let mut next = turn;
-        while let Some(held) = self.turns.get_mut(&next) {
-            held.keep_until = held.keep_until.max(keep_until);
-            match held.previous {
-                // A chain is finite unless records are forged; stop at a repeat.
+        while let Some(indexed) = self.turns.get_mut(&next) {
+            indexed.expires_at = indexed.expires_at.max(expires_at);
+            match indexed.previous {
+                // Chains are finite unless records are forged; stops at a turn that
+                // continues itself.
                 Some(previous) if previous != next => next = previous,
                 _ => return,
             }
         }
     }
 
-    /// The program's ledger.
+    /// Returns the ledger of a program.
     pub fn ledger_entries(&self, program: &str) -> List<LedgerEntry> {
         let ledger = self.ledgers.get(&ProgramKey::of(program));
         List(ledger.map_or_else(Vec::new, |ledger| ledger.entries.clone()))
     }
 
-    /// The chain that ends in `turn`, as far as it is held, newest first.
+    /// Returns the stored part of the chain that ends in `turn`, newest first.
     pub fn chain(&self, turn: &Text) -> Vec<ChainLink> {
-        let mut steps = Vec::new();
+        let mut links = Vec::new();
         let mut next = Some(TurnKey::of(turn));
         while let Some(key) = next
-            && let Some(held) = self.turns.get(&key)
+            && let Some(indexed) = self.turns.get(&key)
         {
-            steps.push(match self.recent.get(key) {
+            links.push(match self.recent_turns.get(key) {
                 Some(part) => ChainLink::Cached(part.clone()),
-                None => ChainLink::OnDisk(held.place),
+                None => ChainLink::OnDisk(indexed.location),
             });
-            next = held.previous.filter(|previous| *previous != key);
+            next = indexed.previous.filter(|previous| *previous != key);
         }
-        steps
+        links
     }
 
-    /// A page of digests from a position on; a position in another journal, or
-    /// before the journal's start, begins at the start.
+    /// Returns a page of digests from a position on. A position in another journal or
+    /// before its start means the start of the journal.
     pub fn digests_reply(
         &self,
         from: JournalPosition,
-        standing: PeerStatus,
+        status: PeerStatus,
         directory: DirectoryMark,
     ) -> Reply {
         let start = if from.journal == self.journal_identifier {
-            from.next.clamp(self.first, self.journal_end().next)
+            from.next.clamp(self.first_number, self.journal_end().next)
         } else {
-            self.first
+            self.first_number
         };
-        let offset = (start - self.first) as usize;
-        let page: List<RecordDigest> = self
+        let offset = (start - self.first_number) as usize;
+        let digests: List<RecordDigest> = self
             .journal
             .iter()
             .skip(offset)
             .take(MAX_DIGESTS_PER_PAGE)
             .copied()
             .collect();
-        let next = start + page.len() as u64;
+        let next = start + digests.len() as u64;
         Reply::Digests {
             next: JournalPosition {
                 journal: self.journal_identifier,
                 next,
             },
             more: next < self.journal_end().next,
-            complete: standing.complete,
-            members_version: standing.members_version,
+            complete: status.complete,
+            members_version: status.members_version,
             directory,
             silent: List::default(),
-            digests: page,
+            digests,
         }
     }
 
-    /// Where the records with these digests lie, as far as they are held.
+    /// Returns the locations of those records that are stored.
     pub fn locations(&self, digests: &[RecordDigest]) -> Vec<RecordLocation> {
-        let held = digests.iter().filter_map(|digest| self.held.get(digest));
-        held.map(|holding| holding.place).collect()
+        let entries = digests.iter().filter_map(|digest| self.records.get(digest));
+        entries.map(|indexed| indexed.location).collect()
     }
 
-    /// Forgets the journal's first records, which are these. Returns those that
-    /// must be kept longer, for writing again.
+    /// Removes the journal's first records, which must be `records`. Returns those that
+    /// must be retained longer and therefore be written again.
     pub fn expire(&mut self, records: Vec<Record>, now: u64) -> Vec<Record> {
-        let mut needed = Vec::new();
+        let mut retained = Vec::new();
         for record in records {
-            self.forget_first();
+            self.remove_first_digest();
             let digest = record.digest();
-            let Some(holding) = self.held.get_mut(&digest) else {
+            let Some(indexed) = self.records.get_mut(&digest) else {
                 continue;
             };
-            holding.copies -= 1;
-            if holding.copies > 0 {
+            indexed.copies -= 1;
+            if indexed.copies > 0 {
                 continue;
             }
-            self.held.remove(&digest);
-            if self.needed(&record, now) {
-                needed.push(record);
+            self.records.remove(&digest);
+            if self.is_needed(&record, now) {
+                retained.push(record);
             }
         }
-        self.turns.retain(|_, held| held.keep_until > now);
+        self.turns.retain(|_, indexed| indexed.expires_at > now);
         self.ledgers.retain(|_, ledger| {
-            let stays = ledger.keep_until > now;
-            if !stays {
-                self.ledger_entries -= ledger.entries.len();
+            let is_retained = ledger.expires_at > now;
+            if !is_retained {
+                self.total_ledger_entries -= ledger.entries.len();
             }
-            stays
+            is_retained
         });
-        self.give_back_memory();
-        needed
+        self.shrink_capacity();
+        retained
     }
 
-    fn forget_first(&mut self) {
+    fn remove_first_digest(&mut self) {
         if self.journal.pop_front().is_some() {
-            self.first += 1;
+            self.first_number += 1;
         }
     }
 
-    /// Maps keep the size of their fullest moment; a burst must not hold its
-    /// memory for ever.
-    fn give_back_memory(&mut self) {
-        if self.held.len() * 4 < self.held.capacity() {
-            self.held.shrink_to(self.held.len() * 2);
+    /// Shrinks the maps, whose capacity otherwise stays at its peak.
+    fn shrink_capacity(&mut self) {
+        if self.records.len() * 4 < self.records.capacity() {
+            self.records.shrink_to(self.records.len() * 2);
             self.turns.shrink_to(self.turns.len() * 2);
             self.ledgers.shrink_to(self.ledgers.len() * 2);
             self.journal.shrink_to(self.journal.len() * 2);
         }
     }
 
-    fn needed(&self, record: &Record, now: u64) -> bool {
+    fn is_needed(&self, record: &Record, now: u64) -> bool {
         match record {
             Record::Turn(record) => {
-                let held = self.turns.get(&TurnKey::of(&record.turn));
-                held.is_some_and(|held| held.keep_until > now)
+                let indexed = self.turns.get(&TurnKey::of(&record.turn));
+                indexed.is_some_and(|indexed| indexed.expires_at > now)
             }
             Record::Reserve { program, turn, .. } | Record::Settle { program, turn, .. } => {
                 let TurnKey(turn) = TurnKey::of(turn);
                 let ledger = self.ledgers.get(&ProgramKey::of(program));
                 ledger.is_some_and(|ledger| {
                     let mut entries = ledger.entries.iter();
-                    ledger.keep_until > now && entries.any(|entry| entry.turn == turn)
+                    ledger.expires_at > now && entries.any(|entry| entry.turn == turn)
                 })
             }
             Record::Clock { .. } => false,
