--- a/crates/stageyoke-store/src/store_host.rs
+++ b/crates/stageyoke-store/src/store_host.rs
@@ -1,5 +1,5 @@
-//! The store role: recovers the disk, serves, and keeps its place in the
-//! member list.
+//! The store process: recovers the disk, serves requests and maintains its membership in a
+//! group.
 
 mod events;
 
@@ -20,7 +20,7 @@
 use tokio::net::TcpListener;
 use tokio::time::Instant;
 
-use self::events::describe;
+use self::events::describe_groups;
 pub use self::events::log_mirror_event;
 use crate::directory_relay::to_directory_item;
 use crate::extension::describe_build;
@@ -39,59 +39,61 @@
 use stageyoke_observe as observe;
 use stageyoke_policy::quota::QuotaTolerance;
 
-const TICK: Duration = Duration::from_millis(1000);
-const QUICK_TICK: Duration = Duration::from_millis(150);
-/// Members that are silent for less are not told of: a round with a peer takes as long.
-const TOLD_SILENCE: Duration = Duration::from_millis(1200);
-/// A store that compared so lately, and is no member, is about to be one: two rounds.
-const SPARE_NEAR: Duration = Duration::from_secs(2);
-/// Least time between two writes of the service's items.
-const KEEP_ITEMS_PAUSE: Duration = Duration::from_millis(700);
-/// Pause between two looks for what is past its time.
-const EXPIRE_PAUSE: Duration = Duration::from_secs(1);
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Time for a read of the list that others go by already.
-const READ_LIST_WITHIN: Duration = Duration::from_millis(500);
-
-/// Stores that ask the key-value service before the others get old, the first
-/// of the member list: one more than the disks that any deployment may lose.
-const ASKING_FIRST: usize = 3;
-
-/// Settings of the role.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(1000);
+const BUSY_MAINTENANCE_INTERVAL: Duration = Duration::from_millis(150);
+/// Minimum time without an answer after which a member is reported as silent; a round of
+/// comparison with a peer may take this long.
+const MIN_REPORTED_SILENCE: Duration = Duration::from_millis(1200);
+/// A spare store that asked for digests within this time is likely to become a member soon;
+/// covers two rounds of comparison.
+const MAX_SPARE_REQUEST_AGE: Duration = Duration::from_secs(2);
+/// Minimum interval between two writes of the directory items to disk.
+const MIN_SAVE_ITEMS_INTERVAL: Duration = Duration::from_millis(700);
+/// Interval between two checks for expired segments.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Time limit for reading a member list that other processes already use.
+const MEMBER_LIST_READ_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Number of members, from the start of the list, that refresh the directory earlier than
+/// the others: one more than the number of disks that any deployment tolerates losing.
+const EARLY_REFRESH_MEMBERS: usize = 3;
+
+/// Settings of a store process.
 #[derive(Clone, Debug)]
 pub struct StoreSettings {
-    /// Machine name.
+    /// Machine name of the store.
     pub node: Text,
-    /// Zone.
+    /// Zone of the machine.
     pub zone: Text,
-    /// Address of the inner listener.
+    /// Address of the internal listener.
     pub listen: SocketAddr,
-    /// Address under which fronts and other stores reach it.
+    /// Address at which fronts and other stores reach this store.
     pub advertised: SocketAddr,
-    /// Bounds of memory and of files.
+    /// Limits on memory and file sizes.
     pub limits: StoreLimits,
-    /// Data folder.
+    /// Path of the data folder.
     pub data_folder: PathBuf,
     /// Whether the whole system starts for the first time.
     pub first_start: bool,
-    /// What may be lost at once.
+    /// Losses that the system must tolerate at the same time.
     pub tolerance: Tolerance,
-    /// Time from the start of a lost store's successor until the group must bear the
+    /// Time from the start of a lost store's replacement until the group must tolerate the
     /// next loss.
-    pub catch_up: Duration,
-    /// What is tolerated beyond tenants' limits.
+    pub catch_up_time: Duration,
+    /// Amount by which tenants may exceed their limits.
     pub quota_tolerance: QuotaTolerance,
 }
 
-/// What a store writes next.
+/// A change that this store proposes to the key-value service.
 enum Proposal {
-    /// The next store groups, under the condition that nothing has changed, and what
-    /// they mean for this store's retirement.
+    /// The next store groups, written only if the groups are unchanged. `retired` is set if
+    /// the change starts (`false`) or completes (`true`) this store's retirement.
     Groups {
         stores: StoreGroups,
         retired: Option<bool>,
     },
-    /// Its registration; one that is leaving takes no part in the groups.
+    /// This store's registration; a store that is leaving does not join a group.
     Registration(Member),
 }
 
@@ -111,30 +113,30 @@
     }
 }
 
-/// What the items were kept at last.
+/// Versions of the directory items that were last saved, and the time of saving.
 #[derive(Clone, Copy, Debug, Default)]
-struct KeptItems {
+struct SavedItems {
     changes: u64,
     routes: u64,
     stores: u64,
     at: Option<Instant>,
 }
 
-/// One store process.
+/// A store process.
 pub struct StoreHost<S, I> {
     settings: StoreSettings,
     mirror: Rc<Mirror<S, I>>,
     local_store: Rc<LocalStore>,
     peers: Rc<Peers>,
-    survey: MemberProber,
+    prober: MemberProber,
     formation: RefCell<Formation>,
-    shared_end: Cell<Option<FencedJournalEnd>>,
-    healing: RecoveryMonitor,
-    items_kept: Cell<KeptItems>,
+    fenced_journal_end: Cell<Option<FencedJournalEnd>>,
+    recovery_monitor: RecoveryMonitor,
+    saved_items: Cell<SavedItems>,
 }
 
 impl<S: KeyValueService + 'static, I: Interpreter + 'static> StoreHost<S, I> {
-    /// Recovers the disk and serves until the task is dropped.
+    /// Recovers the disk and serves requests until the task is dropped.
     pub async fn run(settings: StoreSettings, mirror: Rc<Mirror<S, I>>) -> io::Result<()> {
         let folder = DataFolder::open(&settings.data_folder)?;
         let recovered = folder.recover(rand::random(), settings.first_start)?;
@@ -145,13 +147,13 @@
             recovered.segments.len(),
             recovered.bytes,
             recovered.state.memory_bytes(),
-            recovered.clock,
+            recovered.clock_seconds,
             recovered.torn_segments,
             recovered.completeness,
             recovered.state.journal_end().journal
         );
         observe::event(Event::LogRecovered, &detail);
-        let kept_items = folder.read_items();
+        let recovered_items = folder.read_items();
         let node = settings.node.clone();
         let (local_store, results) = LocalStore::open(node, folder, recovered, settings.limits)?;
         let local_store = local_store.with_directory_freshness(mirror.freshness().clone());
@@ -163,7 +165,7 @@
         tokio::task::spawn_local(server::serve(local_store.clone(), listener));
         let collector = local_store.clone();
         tokio::task::spawn_local(async move { collector.process_journal_results(results).await });
-        local_store.set_directory_items(kept_items, false);
+        local_store.set_directory_items(recovered_items, false);
         local_store.set_directory_source(mirror.clone());
         mirror.seed_stores((*local_store.stores()).clone());
         let host = Rc::new(Self {
@@ -171,34 +173,37 @@
             mirror,
             local_store,
             peers,
-            survey: MemberProber::default(),
+            prober: MemberProber::default(),
             formation: RefCell::default(),
-            shared_end: Cell::new(None),
-            healing: RecoveryMonitor::default(),
-            items_kept: Cell::default(),
+            fenced_journal_end: Cell::new(None),
+            recovery_monitor: RecoveryMonitor::default(),
+            saved_items: Cell::default(),
         });
-        host.follow();
-        let forgetting = host.local_store.clone();
+        host.apply_view();
+        let expiring_store = host.local_store.clone();
         tokio::task::spawn_local(async move {
             loop {
-                tokio::time::sleep(EXPIRE_PAUSE).await;
-                forgetting.expire_segments().await;
-                forgetting.retry_saving_stores();
+                tokio::time::sleep(EXPIRY_INTERVAL).await;
+                expiring_store.expire_segments().await;
+                expiring_store.retry_saving_stores();
             }
         });
-        let asking = host.clone();
+        let probing_host = host.clone();
         tokio::task::spawn_local(async move {
-            asking.survey.run(|| asking.spare_among()).await;
+            probing_host
+                .prober
+                .run(|| probing_host.groups_if_spare())
+                .await;
         });
-        let mirroring = host.clone();
+        let mirroring_host = host.clone();
         tokio::task::spawn_local(async move {
-            mirroring.mirror.run(log_mirror_event).await;
+            mirroring_host.mirror.run(log_mirror_event).await;
         });
-        host.keep_place().await;
+        host.maintain_membership().await;
         Ok(())
     }
 
-    fn follow(&self) {
+    fn apply_view(&self) {
         let view = self.mirror.view();
         self.local_store.set_stores(view.stores.clone());
         if !view.stores.is_formed() {
@@ -210,85 +215,86 @@
             self.local_store
                 .set_registered_addresses(addresses.collect());
         }
-        self.choose_group();
+        self.choose_backfill_group();
         let members = self.local_store.members();
         self.peers.update_members(&members);
-        self.tell_silence(&members);
-        let mut first = members.list.iter().take(ASKING_FIRST);
-        let asks_first = first.any(|member| member.node == self.settings.node);
-        self.mirror.freshness().set_early_refresh(asks_first);
-        self.keep_items();
+        self.report_silent_members(&members);
+        let mut first = members.list.iter().take(EARLY_REFRESH_MEMBERS);
+        let refreshes_early = first.any(|member| member.node == self.settings.node);
+        self.mirror.freshness().set_early_refresh(refreshes_early);
+        self.save_directory_items();
     }
 
-    /// The store groups, if this store is a member of none.
-    fn spare_among(&self) -> Option<Rc<StoreGroups>> {
+    /// Returns the store groups if they are formed and this store is not a member of any.
+    fn groups_if_spare(&self) -> Option<Rc<StoreGroups>> {
         let stores = self.local_store.stores();
-        let spare = stores.is_formed() && stores.group_of_node(&self.settings.node).is_none();
-        spare.then_some(stores)
+        let is_spare = stores.is_formed() && stores.group_of_node(&self.settings.node).is_none();
+        is_spare.then_some(stores)
     }
 
-    /// A spare fills up for the group that needs it most.
-    fn choose_group(&self) {
-        let Some(stores) = self.spare_among() else {
+    /// Selects the group for which this spare store is backfilled.
+    fn choose_backfill_group(&self) {
+        let Some(stores) = self.groups_if_spare() else {
             return;
         };
-        // Another group's list may have the same version.
-        self.shared_end.set(None);
-        let group = self.ordinary_size(&stores).and_then(|size| {
-            self.survey
+        // The list of another group may have the same version.
+        self.fenced_journal_end.set(None);
+        let group = self.regular_group_size(&stores).and_then(|size| {
+            self.prober
                 .group_in_need(&stores, size, &self.settings.node)
         });
         self.local_store.backfill_for(group);
     }
 
-    /// Members of an ordinary group.
-    fn ordinary_size(&self, stores: &StoreGroups) -> Option<usize> {
+    /// Returns the regular number of members of a group.
+    fn regular_group_size(&self, stores: &StoreGroups) -> Option<usize> {
         let members: Vec<Member> = stores.members().cloned().collect();
         group_size(&self.settings.tolerance, &members)
     }
 
-    /// Whether this store is a member too many: the newest of a group that is
-    /// larger than an ordinary one though all its members are there.
-    fn surplus(&self, stores: &StoreGroups, members: &Members) -> bool {
+    /// Returns whether this store is a surplus member: the newest one of a group that is
+    /// larger than the regular size although all its members answer.
+    fn is_surplus(&self, stores: &StoreGroups, members: &Members) -> bool {
         let newest = members.list.last();
         let is_newest = newest.is_some_and(|member| member.node == self.settings.node);
-        let larger = |size| stores.groups.len() > 1 && members.list.len() > size;
-        let mut others = self.others(members);
+        let is_larger = |size| stores.groups.len() > 1 && members.list.len() > size;
+        let mut other_members = self.other_members(members);
         is_newest
-            && self.ordinary_size(stores).is_some_and(larger)
-            && others.all(|member| self.silent_for(member) < LOST_MEMBER_TIMEOUT)
+            && self.regular_group_size(stores).is_some_and(is_larger)
+            && other_members.all(|member| self.silent_for(member) < LOST_MEMBER_TIMEOUT)
     }
 
-    /// Whether the group takes one more member: it has less than an ordinary one, or
-    /// is the only one. A spare first learns whether there is somebody to replace.
-    fn room(&self, stores: &StoreGroups, members: &Members) -> bool {
-        let smaller = |size| members.list.len() < size;
-        let takes_all = stores.groups.len() == 1;
-        self.survey.has_probed_all()
-            && (takes_all || self.ordinary_size(stores).is_some_and(smaller))
+    /// Returns whether the group accepts another member: it is smaller than the regular
+    /// size, or the only group. A spare first checks whether there is a member to replace.
+    fn has_room(&self, stores: &StoreGroups, members: &Members) -> bool {
+        let is_smaller = |size| members.list.len() < size;
+        let is_only_group = stores.groups.len() == 1;
+        self.prober.has_probed_all()
+            && (is_only_group || self.regular_group_size(stores).is_some_and(is_smaller))
     }
 
-    /// Keeps the items of the service, for fronts that start while it is down:
-    /// at once when routes or members have changed, while a group of changes of
-    /// the replica list is kept together.
-    fn keep_items(&self) {
+    /// Saves the directory items for fronts that start during a service outage. Changes of
+    /// routes or members are saved at once; changes of replicas are batched.
+    fn save_directory_items(&self) {
         if self.mirror.last_contact().is_none() {
             return;
         }
         let view = self.mirror.view();
-        let now = KeptItems {
+        let now = SavedItems {
             changes: self.mirror.change_count(),
             routes: view.routes.as_ref().map_or(0, |routes| routes.version),
             stores: view.stores.version,
             at: Some(Instant::now()),
         };
-        let kept = self.items_kept.get();
-        let rested = kept.at.is_none_or(|at| at.elapsed() > KEEP_ITEMS_PAUSE);
-        let urgent = (kept.routes, kept.stores) != (now.routes, now.stores);
-        if kept.changes == now.changes || !(urgent || rested) {
+        let saved = self.saved_items.get();
+        let interval_elapsed = saved
+            .at
+            .is_none_or(|at| at.elapsed() > MIN_SAVE_ITEMS_INTERVAL);
+        let is_urgent = (saved.routes, saved.stores) != (now.routes, now.stores);
+        if saved.changes == now.changes || !(is_urgent || interval_elapsed) {
             return;
         }
-        self.items_kept.set(now);
+        self.saved_items.set(now);
         let items = self
             .mirror
             .items()
@@ -298,55 +304,55 @@
         self.local_store.set_directory_items(items, true);
     }
 
-    async fn keep_place(&self) {
+    async fn maintain_membership(&self) {
         loop {
-            self.follow();
+            self.apply_view();
             let proposal = self.next_proposal();
-            let acted = proposal.is_some();
+            let has_proposal = proposal.is_some();
             if let Some(proposal) = proposal {
                 self.propose(proposal).await;
             }
-            let pause = if self.settled() && !acted {
-                TICK
+            let delay = if self.is_settled() && !has_proposal {
+                MAINTENANCE_INTERVAL
             } else {
-                QUICK_TICK
+                BUSY_MAINTENANCE_INTERVAL
             };
             tokio::select! {
-                () = tokio::time::sleep(pause) => {}
+                () = tokio::time::sleep(delay) => {}
                 () = self.mirror.wait_for_change() => {}
                 () = self.local_store.wait_for_newer_member_list() => self.read_newer_list().await,
             }
         }
     }
 
-    /// Reads the list that others go by already, rather than wait for the watch: until
-    /// this store knows of a change, the change may be unable to go on.
-    /// Where the service does not answer, what another store told is taken: the
-    /// service took it from somebody.
+    /// Reads the member list that other processes already use instead of waiting for the
+    /// watch, because a member change may wait for this store. If the key-value service
+    /// does not answer, uses the groups that another store reported, which that store
+    /// received from the service.
     async fn read_newer_list(&self) {
-        let heard = self.local_store.take_reported_stores();
+        let reported = self.local_store.take_reported_stores();
         let reading = self.mirror.confirm_stores();
-        let read = tokio::time::timeout(READ_LIST_WITHIN, reading).await;
-        match (read, heard) {
+        let read = tokio::time::timeout(MEMBER_LIST_READ_TIMEOUT, reading).await;
+        match (read, reported) {
             (Ok(Ok(())), _) => {}
-            (_, Some(heard)) => self.mirror.seed_stores(heard),
-            // The mirror tells of the service's silence; who asks next tries again.
-            (_, None) => tokio::time::sleep(RETRY_PAUSE).await,
+            (_, Some(reported)) => self.mirror.seed_stores(reported),
+            // The mirror reports the outage; the next requester triggers another attempt.
+            (_, None) => tokio::time::sleep(RETRY_DELAY).await,
         }
     }
 
-    /// Whether nothing is to be done soon: a complete member of a list that is not
-    /// being changed, or a spare that no group needs.
-    fn settled(&self) -> bool {
+    /// Returns whether nothing is due soon: this store is a complete member of a list that
+    /// is not changing, or a spare that no group needs.
+    fn is_settled(&self) -> bool {
         let stores = self.local_store.stores();
-        let member = stores.group_of_node(&self.settings.node).is_some();
+        let is_member = stores.group_of_node(&self.settings.node).is_some();
         let settled_member =
-            member && self.local_store.is_complete() && self.local_store.members().is_settled();
-        let idle_spare = stores.is_formed() && !member && self.local_store.group().is_none();
-        (settled_member || idle_spare) && !self.retiring()
+            is_member && self.local_store.is_complete() && self.local_store.members().is_settled();
+        let idle_spare = stores.is_formed() && !is_member && self.local_store.group().is_none();
+        (settled_member || idle_spare) && !self.is_retiring()
     }
 
-    fn retiring(&self) -> bool {
+    fn is_retiring(&self) -> bool {
         self.mirror
             .view()
             .retirements
@@ -354,22 +360,22 @@
     }
 
     fn next_proposal(&self) -> Option<Proposal> {
-        // Without an answer of the service the groups may have changed.
+        // The groups may have changed without contact to the service.
         self.mirror.last_contact()?;
         let stores = self.local_store.stores();
         if !stores.is_formed() {
-            return self.before_formation(&stores);
+            return self.formation_proposal(&stores);
         }
-        let member = stores.group_of_node(&self.settings.node).is_some();
-        if !member && self.retiring() {
-            // What a spare holds, the group that it was a member of holds too.
+        let is_member = stores.group_of_node(&self.settings.node).is_some();
+        if !is_member && self.is_retiring() {
+            // The group that this spare was a member of holds all its records.
             return Some(Proposal::retirement(stores.next_version(), true));
         }
         let group = self.local_store.group()?;
         let change = |members| stores.with_group(group, members);
         match self.next_step(&stores, stores.group(group)?) {
             MembershipStep::Wait(_) => None,
-            MembershipStep::StartLeaving(members) if self.retiring() => {
+            MembershipStep::StartLeaving(members) if self.is_retiring() => {
                 Some(Proposal::retirement(change(members), false))
             }
             MembershipStep::Change(members) | MembershipStep::StartLeaving(members) => {
@@ -378,12 +384,12 @@
         }
     }
 
-    /// Registers; the groups are formed once no more stores come.
-    fn before_formation(&self, stores: &StoreGroups) -> Option<Proposal> {
-        // Nothing can have been kept by anybody yet, whatever became of a disk.
+    /// Registers this store and forms the groups once no more stores register.
+    fn formation_proposal(&self, stores: &StoreGroups) -> Option<Proposal> {
+        // No store can have acknowledged a record yet, so an empty disk is complete too.
         self.local_store.declare_complete();
-        if self.retiring() {
-            return self.before_leaving(stores);
+        if self.is_retiring() {
+            return self.withdrawal_proposal(stores);
         }
         let mut formation = self.formation.borrow_mut();
         match formation.next_step(stores, &self.entry(), &self.settings.tolerance) {
@@ -393,22 +399,22 @@
         }
     }
 
-    /// A store that leaves before the groups are formed takes its registration back,
-    /// and has nothing to hand over.
-    fn before_leaving(&self, stores: &StoreGroups) -> Option<Proposal> {
+    /// Withdraws the registration of a store that leaves before the groups are formed; it
+    /// has no records to hand over.
+    fn withdrawal_proposal(&self, stores: &StoreGroups) -> Option<Proposal> {
         let view = self.mirror.view();
         let own = view.registered.get(&self.settings.node);
         if own.is_some_and(|own| own.state == MemberState::Active) {
-            let leaving = Member {
+            let withdrawn = Member {
                 state: MemberState::Leaving,
                 ..self.entry()
             };
-            return Some(Proposal::Registration(leaving));
+            return Some(Proposal::Registration(withdrawn));
         }
         Some(Proposal::retirement(stores.next_version(), true))
     }
 
-    /// This store, as an active member.
+    /// Returns this store's entry as an active member.
     fn entry(&self) -> Member {
         Member {
             node: self.settings.node.clone(),
@@ -419,43 +425,44 @@
         }
     }
 
-    /// The next step in the list of the group that this store is a member of,
-    /// or fills up for.
+    /// Decides on the next step for the member list of the group that this store belongs to
+    /// or is being backfilled for.
     fn next_step(&self, stores: &StoreGroups, members: &Members) -> MembershipStep {
         if has_never_stored(members, &self.settings.tolerance) {
             self.local_store.declare_complete();
         }
-        let fenced = self.fenced(members);
-        let oneself = LocalMember {
+        let fenced = self.is_fenced(members);
+        let local_member = LocalMember {
             entry: self.entry(),
             complete: self.local_store.is_complete(),
             caught_up: self.peers.is_caught_up_with_group(),
-            retiring: self.retiring(),
-            surplus: self.surplus(stores, members),
-            has_room: self.room(stores, members),
+            retiring: self.is_retiring(),
+            surplus: self.is_surplus(stores, members),
+            has_room: self.has_room(stores, members),
             successor_pending: self
                 .local_store
                 .elapsed_since_spare_request()
-                .is_some_and(|at| at < SPARE_NEAR),
+                .is_some_and(|at| at < MAX_SPARE_REQUEST_AGE),
             fenced,
             member_list_age: self.local_store.members_since().elapsed(),
-            replacement_timeout: replacement_timeout(self.settings.catch_up),
+            replacement_timeout: replacement_timeout(self.settings.catch_up_time),
         };
         let peers = self.peer_health(members, fenced);
         let tolerance = &self.settings.tolerance;
-        let step = decide(members, &oneself, &peers, tolerance);
-        let counts = || MemberCounts::new(members, &oneself, &peers, tolerance);
-        self.healing.observe_step(&step, members.version, counts);
+        let step = decide(members, &local_member, &peers, tolerance);
+        let counts = || MemberCounts::new(members, &local_member, &peers, tolerance);
+        self.recovery_monitor
+            .observe_step(&step, members.version, counts);
         step
     }
 
-    fn others<'a>(&'a self, members: &'a Members) -> impl Iterator<Item = &'a Member> {
+    fn other_members<'a>(&'a self, members: &'a Members) -> impl Iterator<Item = &'a Member> {
         members
             .all()
             .filter(|member| member.node != self.settings.node)
     }
 
-    fn fenced(&self, members: &Members) -> bool {
+    fn is_fenced(&self, members: &Members) -> bool {
         is_fenced(members, &self.settings.tolerance, |member| {
             match member.node == self.settings.node {
                 true => self.local_store.is_complete() && self.local_store.has_saved_stores(),
@@ -465,43 +472,44 @@
     }
 
     fn peer_health(&self, members: &Members, fenced: bool) -> Vec<PeerHealth> {
-        let known = self.shared_end.get();
+        let previous = self.fenced_journal_end.get();
         let end = self.local_store.journal_end();
-        let shared_end = FencedJournalEnd::for_members(members, known, fenced, end);
-        self.shared_end.set(shared_end);
-        let holds_it = |node: &str| {
+        let fenced_journal_end = FencedJournalEnd::for_members(members, previous, fenced, end);
+        self.fenced_journal_end.set(fenced_journal_end);
+        let holds_fenced_records = |node: &str| {
             let held = self.local_store.held_by(node);
-            shared_end.is_some_and(|end| end.is_covered_by(held))
+            fenced_journal_end.is_some_and(|end| end.is_covered_by(held))
         };
-        self.others(members)
+        self.other_members(members)
             .map(|member| PeerHealth {
                 node: member.node.clone(),
                 silent_for: self.silent_for(member),
-                caught_up: holds_it(&member.node),
+                caught_up: holds_fenced_records(&member.node),
             })
             .collect()
     }
 
-    /// How long a member has not answered, as a peer or, before this store was one,
-    /// when it asked whether it is there. A spare that has never heard it believes the
-    /// members that answer: a group of two, one of which is gone, rests until its list is
-    /// settled, 1.4 s after the successor's start instead of 2.3 s and more (virtual time).
+    /// Returns the time since a member last answered this store, as a peer or to a spare's
+    /// probe. A spare that has never received an answer from the member uses what other
+    /// members report, so that it need not wait for its own timeout.
     fn silent_for(&self, member: &Member) -> Duration {
         let node = &member.node;
-        let as_peer = self.peers.silent_for(node).unwrap_or_default();
-        let told = match self.survey.has_never_answered(node) {
+        let silent_as_peer = self.peers.silent_for(node).unwrap_or_default();
+        let reported = match self.prober.has_never_answered(node) {
             true => self.peers.reported_silent_for(node).unwrap_or_default(),
             false => Duration::ZERO,
         };
-        as_peer.max(self.survey.silent_for(node)).max(told)
+        silent_as_peer
+            .max(self.prober.silent_for(node))
+            .max(reported)
     }
 
-    /// Tells other stores who does not answer this one.
-    fn tell_silence(&self, members: &Members) {
-        let silent = self.others(members).filter_map(|member| {
+    /// Reports silent members to other stores.
+    fn report_silent_members(&self, members: &Members) {
+        let silent = self.other_members(members).filter_map(|member| {
             let silent_for = self.peers.silent_for(&member.node)?;
             let since = Instant::now().checked_sub(silent_for)?;
-            (silent_for >= TOLD_SILENCE).then(|| SilentSince {
+            (silent_for >= MIN_REPORTED_SILENCE).then(|| SilentSince {
                 node: member.node.clone(),
                 since,
             })
@@ -514,7 +522,7 @@
             Proposal::Groups { stores, retired } => (stores, retired),
             Proposal::Registration(store) => return self.register(&store).await,
         };
-        let mut writes = vec![self.stores_write(&stores)];
+        let mut writes = vec![self.store_groups_write(&stores)];
         if let Some(completed) = retired {
             let report = self
                 .mirror
@@ -533,20 +541,20 @@
         let detail = format!(
             "version={} {} retirement={retired:?} outcome={outcome:?}",
             stores.version,
-            describe(&stores)
+            describe_groups(&stores)
         );
         observe::event(Event::MembersProposed, &detail);
         if outcome != Ok(TransactionOutcome::Done(0)) {
-            // Done, lost to another store, or without an answer: the groups
-            // themselves say.
+            // Whether the write succeeded, lost a race or timed out, the groups in the
+            // service show the result.
             if self.mirror.confirm_stores().await.is_err() {
-                tokio::time::sleep(RETRY_PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 
-    /// Writes this store's registration under no condition: the key is its own. The
-    /// directory shows whether it was taken.
+    /// Writes this store's registration. The write is unconditional because only this store
+    /// writes the key; the directory shows whether it was accepted.
     async fn register(&self, store: &Member) {
         let transaction = Transaction {
             conditions: Vec::new(),
@@ -557,7 +565,7 @@
         observe::event(Event::StoreRegistered, &detail);
     }
 
-    fn stores_write(&self, stores: &StoreGroups) -> Write {
+    fn store_groups_write(&self, stores: &StoreGroups) -> Write {
         Write {
             key: self.mirror.interpreter.stores_key().to_owned(),
             value: stores.serialize_bin().into(),
--- a/crates/stageyoke-store/src/store_host/events.rs
+++ b/crates/stageyoke-store/src/store_host/events.rs
@@ -1,28 +1,33 @@
-//! The store role's lines: what it proposes, what its mirror reports.
+//! Event texts of the store role.
 
 use stageyoke_directory::{Member, MirrorEvent, StoreGroups};
 use stageyoke_observe as observe;
 use stageyoke_types::Event;
 
-/// The groups' members in one line; those before a change that is under way behind.
-pub(super) fn describe(stores: &StoreGroups) -> String {
+/// Formats the member lists of all groups on one line, each followed by the previous list
+/// while a change is in progress.
+pub(super) fn describe_groups(stores: &StoreGroups) -> String {
     let groups = stores.groups.iter().map(|members| {
-        let before = match members.is_settled() {
+        let previous = match members.is_settled() {
             true => String::new(),
-            false => format!("<{}", names(&members.before)),
+            false => format!("<{}", join_names(&members.before)),
         };
-        format!("{}:{}{before}", members.version, names(&members.list))
+        format!(
+            "{}:{}{previous}",
+            members.version,
+            join_names(&members.list)
+        )
     });
     let groups: Vec<String> = groups.collect();
     format!("groups={}", groups.join("|"))
 }
 
-fn names(list: &[Member]) -> String {
+fn join_names(list: &[Member]) -> String {
     let names: Vec<&str> = list.iter().map(|member| member.node.as_str()).collect();
     names.join(",")
 }
 
-/// Logs what the mirror reports.
+/// Logs an event of the directory mirror.
 pub fn log_mirror_event(event: MirrorEvent) {
     match event {
         MirrorEvent::Changed(changed) => {
--- a/crates/stageyoke-store/tests/bounds_test.rs
+++ b/crates/stageyoke-store/tests/bounds_test.rs
@@ -124,7 +124,11 @@
         let left = folder.segment_numbers().expect("numbers");
         assert!(!left.contains(&0), "{left:?}");
         let again = folder.recover(3, false).expect("recover");
-        assert!(again.clock >= 490, "and the clock goes on: {}", again.clock);
+        assert!(
+            again.clock_seconds >= 490,
+            "and the clock goes on: {}",
+            again.clock_seconds
+        );
     })
     .await;
 }
@@ -219,7 +223,10 @@
     let segments: Vec<(u64, &[Record])> = starts.iter().map(|start| (*start, &[][..])).collect();
     write_segments(path.path(), &segments);
     let folder = DataFolder::open(path.path()).expect("folder");
-    assert_eq!(folder.recover(2, false).expect("recover").clock, clock);
+    assert_eq!(
+        folder.recover(2, false).expect("recover").clock_seconds,
+        clock
+    );
 }
 
 /// At the bound new turns are refused first; the ends of those that have begun
--- a/crates/stageyoke-store/tests/relay_test.rs
+++ b/crates/stageyoke-store/tests/relay_test.rs
@@ -39,7 +39,7 @@
                 let mark = CopyFreshness {
                     revision: u64::from(age_milliseconds),
                     age_milliseconds,
-                    back_within_milliseconds: 0,
+                    lapsed_entry_grace_milliseconds: 0,
                 };
                 let content = match asked.content {
                     Request::Stores => Reply::Stores(List(named.clone())),
--- a/crates/stageyoke-store/tests/version_one/samples.rs
+++ b/crates/stageyoke-store/tests/version_one/samples.rs
@@ -192,7 +192,7 @@
             directory: directory(),
             silent: List(vec![SilentPeer {
                 node: Text::from("store-2"),
-                milliseconds: 900,
+                silent_milliseconds: 900,
             }]),
             digests: List(vec![15, 16]),
         },
@@ -386,7 +386,7 @@
     CopyFreshness {
         revision: 33,
         age_milliseconds: 34,
-        back_within_milliseconds: 35,
+        lapsed_entry_grace_milliseconds: 35,
     }
 }
 
