--- a/crates/stageyoke-cli/src/output.rs
+++ b/crates/stageyoke-cli/src/output.rs
@@ -41,7 +41,7 @@
                 exit_code(ErrorKind::ConfigInvalid)
             }
             Self::Other { kind, message } => {
-                let answer = kind.answer();
+                let answer = kind.response();
                 eprintln!("{}: {message}", answer.name);
                 if let Some(seconds) = answer.retry.retry_after_seconds() {
                     eprintln!("try again after {seconds} s");
@@ -54,7 +54,7 @@
 
 /// Exit code of a kind.
 pub fn exit_code(kind: ErrorKind) -> ExitCode {
-    ExitCode::from(kind.answer().exit_code as u8)
+    ExitCode::from(kind.response().exit_code as u8)
 }
 
 /// Prints a value as JSON.
--- a/crates/stageyoke-core/src/gateway/machine.rs
+++ b/crates/stageyoke-core/src/gateway/machine.rs
@@ -479,7 +479,7 @@
         now: Time,
         output: &mut Vec<GatewayOutput>,
     ) {
-        if request.life() != self.life {
+        if request.incarnation() != self.life {
             return;
         }
         let abandon = AbandonCall {
--- a/crates/stageyoke-core/src/node/coordination.rs
+++ b/crates/stageyoke-core/src/node/coordination.rs
@@ -64,7 +64,8 @@
 
     pub(super) fn tick_queues(&mut self, now: Time, output: &mut Vec<Output>) {
         let table = self.membership.table();
-        let runs = |node: NodeId, request: RequestId| table.life_may_run(node, request.life());
+        let runs =
+            |node: NodeId, request: RequestId| table.life_may_run(node, request.incarnation());
         let mut answers = Vec::new();
         for queue in self.queues.values_mut() {
             queue.tick(now, &runs, &mut answers);
--- a/crates/stageyoke-core/src/node/shards.rs
+++ b/crates/stageyoke-core/src/node/shards.rs
@@ -210,7 +210,7 @@
             let own = self.id;
             let runs = |node: NodeId, request: RequestId| {
                 let unknown_yet = grace && node != own && table.get(node).is_none();
-                table.life_may_run(node, request.life()) || unknown_yet
+                table.life_may_run(node, request.incarnation()) || unknown_yet
             };
             let Some(replica) = self.shards.get_mut(&shard) else {
                 continue;
--- a/crates/stageyoke-directory/src/groups.rs
+++ b/crates/stageyoke-directory/src/groups.rs
@@ -185,5 +185,5 @@
 
 /// Order of the groups for one spare.
 fn spare_preference(node: &str, number: GroupNumber) -> u64 {
-    hash::of_bytes(node.bytes().chain(number.0.to_le_bytes()))
+    hash::fnv1a(node.bytes().chain(number.0.to_le_bytes()))
 }
--- a/crates/stageyoke-front/src/admission.rs
+++ b/crates/stageyoke-front/src/admission.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use stageyoke_directory::{Interpreter, KeyValueService, RouteKind};
-use stageyoke_observe::{RequestStory as Summary, metrics};
+use stageyoke_observe::{RequestSummary as Summary, metrics};
 use stageyoke_policy::admission::{AdmissionDecision, EngineLoad};
-use stageyoke_types::hash::{mix, unit};
+use stageyoke_types::hash::{mix, to_unit_interval};
 use stageyoke_types::{ErrorKind, Text};
 
 use crate::failure::Failure;
@@ -76,7 +76,7 @@
         let Some(contention) = self.contention(context) else {
             return Ok(());
         };
-        let order = unit(mix(hash_text(program)));
+        let order = to_unit_interval(mix(hash_text(program)));
         let AdmissionDecision::Rejected(after) = contention.decide(order) else {
             return Ok(());
         };
@@ -85,7 +85,7 @@
         if started != Some(false) {
             return Ok(());
         }
-        metrics().turned_away.inc();
+        metrics().rejected_turns.inc();
         let cause = "no_room_to_begin";
         Err(Failure::retryable(ErrorKind::Overloaded, cause, after))
     }
--- a/crates/stageyoke-front/src/authentication.rs
+++ b/crates/stageyoke-front/src/authentication.rs
@@ -46,7 +46,7 @@
         }
         if self.log_limiter.try_acquire() {
             let detail = format!("directory_age={} limit={:?}", age.as_millis(), self.limit);
-            observe::event(Event::KeysUnconfirmed, &detail);
+            observe::record_event(Event::KeysUnconfirmed, &detail);
         }
         self.limit.is_none_or(|limit| age <= limit)
     }
--- a/crates/stageyoke-front/src/bootstrap.rs
+++ b/crates/stageyoke-front/src/bootstrap.rs
@@ -34,7 +34,7 @@
         };
         let count = items.len();
         if mirror.seed_items(items) {
-            observe::event(Event::SeededByStores, &format!("items={count}"));
+            observe::record_event(Event::SeededByStores, &format!("items={count}"));
             return;
         }
         tokio::time::sleep(RETRY_DELAY).await;
--- a/crates/stageyoke-front/src/dispatch.rs
+++ b/crates/stageyoke-front/src/dispatch.rs
@@ -6,7 +6,7 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::StatusCode;
 use stageyoke_directory::{Interpreter, KeyValueService, RouteKind};
-use stageyoke_observe::RequestStory as Summary;
+use stageyoke_observe::RequestSummary as Summary;
 use stageyoke_store::message::Placement;
 use stageyoke_types::{ErrorKind, Text};
 use tokio::time::Instant;
@@ -87,7 +87,7 @@
                     return Err(Failure::permanent(ErrorKind::DeadlineExceeded, "time_out"));
                 }
                 Ok(AttemptOutcome::Answered(answer)) => {
-                    summary.head_after = context.arrived.elapsed().as_millis() as u64;
+                    summary.response_head_ms = context.arrived.elapsed().as_millis() as u64;
                     let uncached_tokens = chosen.uncached_tokens;
                     match self
                         .complete(context, answer, uncached_tokens, may_try_another)
--- a/crates/stageyoke-front/src/failure.rs
+++ b/crates/stageyoke-front/src/failure.rs
@@ -54,7 +54,7 @@
 
 /// The answer that belongs to a failure.
 pub fn build_response(failure: &Failure) -> Response<ResponseBody> {
-    let answer = failure.kind.answer();
+    let answer = failure.kind.response();
     let content = format!(
         "{{\"error\":{{\"kind\":\"{}\",\"message\":\"{}\"}}}}",
         answer.name, answer.meaning
--- a/crates/stageyoke-front/src/front.rs
+++ b/crates/stageyoke-front/src/front.rs
@@ -154,7 +154,7 @@
                 if reported.insert(number) {
                     let failing_for = group.failing_for().unwrap_or_default();
                     let detail = format!("group={} for={failing_for:?}", number.0);
-                    observe::event(Event::GroupFailing, &detail);
+                    observe::record_event(Event::GroupFailing, &detail);
                 }
                 let probed = group.clone();
                 tokio::task::spawn_local(async move { probed.probe(PROBE_TIMEOUT).await });
@@ -167,7 +167,7 @@
                 if !fails {
                     self.mirror.freshness().report_peers_reachable();
                     let detail = format!("store group {}", number.0);
-                    observe::event(Event::DependencyRegained, &detail);
+                    observe::record_event(Event::DependencyRegained, &detail);
                 }
                 fails
             });
@@ -186,7 +186,7 @@
         if let Some(routes) = &view.routes {
             self.traffic_split.retain_routes(routes);
             for (event, detail) in self.tenant_warnings.update(routes) {
-                observe::event(event, &detail);
+                observe::record_event(event, &detail);
             }
         }
         let version = view.routes.as_ref().map_or(0, |routes| routes.version);
@@ -255,11 +255,11 @@
         seeding.apply_directory();
     });
     let detail = format!("node={} {}", settings.node, describe_build());
-    observe::event(Event::NodeStarted, &detail);
+    observe::record_event(Event::NodeStarted, &detail);
     stop.await;
     front.draining.set(true);
     let detail = format!("under_way={}", front.requests.count());
-    observe::event(Event::NodeDraining, &detail);
+    observe::record_event(Event::NodeDraining, &detail);
     let most = settings.grace.saturating_sub(SHUTDOWN_MARGIN);
     let finish = async {
         tokio::time::sleep(STOP_LISTENING_DELAY.min(most)).await;
@@ -267,6 +267,6 @@
         front.requests.wait_until_idle().await;
     };
     let finished = tokio::time::timeout(most, finish).await.is_ok();
-    observe::event(Event::NodeStopped, &format!("finished={finished}"));
+    observe::record_event(Event::NodeStopped, &format!("finished={finished}"));
     Ok(())
 }
--- a/crates/stageyoke-front/src/handler.rs
+++ b/crates/stageyoke-front/src/handler.rs
@@ -32,7 +32,7 @@
 use crate::response_body::ResponseBody;
 use crate::routing::MatchedRoute;
 use crate::stream_relay::{CHUNK_BUFFER, StreamRelay, TurnStorage, UpstreamStream};
-use stageyoke_observe::{self as observe, RequestStory as Summary};
+use stageyoke_observe::{self as observe, RequestSummary as Summary};
 
 /// How long a doubtful route or chain is looked up.
 pub(crate) const LOOKUP_TIMEOUT: Duration = Duration::from_millis(800);
@@ -74,10 +74,10 @@
             Ok(response) => response,
             Err(failure) => {
                 summary.outcome = failure.cause;
-                summary.status = failure.kind.answer().http_status;
+                summary.status = failure.kind.response().http_status;
                 let retry_after = failure.retry_after.unwrap_or_default();
-                summary.retry_after = retry_after.as_millis() as u64;
-                observe::request_ended(&summary, arrived.elapsed());
+                summary.retry_after_ms = retry_after.as_millis() as u64;
+                observe::record_request(&summary, arrived.elapsed());
                 self.echo(failure::build_response(&failure), &summary)
             }
         };
@@ -116,15 +116,15 @@
         summary.request = parameters.request.to_string();
         summary.program = parameters.program.to_string();
         let deadline = parameters.deadline.saturating_duration_since(arrived);
-        summary.deadline = deadline.as_millis() as u64;
+        summary.deadline_ms = deadline.as_millis() as u64;
         let finish = parameters
             .program_deadline
             .map_or(Duration::ZERO, |finish| finish.remaining());
-        summary.finish = finish.as_millis() as u64;
+        summary.finish_ms = finish.as_millis() as u64;
         let freshness = self.mirror.freshness();
         freshness.ensure_fresh().await;
         let age = freshness.age().unwrap_or(Duration::MAX);
-        summary.directory_age = age.as_millis().min(u128::from(u32::MAX)) as u64;
+        summary.directory_age_ms = age.as_millis().min(u128::from(u32::MAX)) as u64;
         let ages = &observe::metrics().directory_age_seconds;
         ages.observe(age.as_secs_f64());
         self.stale_list_monitor
@@ -138,7 +138,7 @@
         summary.route = route.name.to_string();
         if let Some(tenant) = &caller.tenant {
             summary.tenant = tenant.name.to_string();
-            summary.limit = tenant.rate_limit.map_or_else(String::new, |limit| {
+            summary.rate_limit = tenant.rate_limit.map_or_else(String::new, |limit| {
                 format!("{}+{}", limit.per_second, limit.burst)
             });
             if !self.key_freshness.accepts_keys(age) {
@@ -252,7 +252,7 @@
             context.outbound.body = Bytes::from(body);
         }
         self.started_programs.record(&context.identifiers.program);
-        summary.offered_after = context.arrived.elapsed().as_millis() as u64;
+        summary.first_offer_ms = context.arrived.elapsed().as_millis() as u64;
         let served = self
             .dispatch(&mut context, summary, &mut reservation, expected)
             .await?;
@@ -307,7 +307,7 @@
             DispatchedResponse::Whole(head, content) => {
                 summary.status = head.status.as_u16();
                 summary.outcome = "answered";
-                observe::request_ended(summary, context.arrived.elapsed());
+                observe::record_request(summary, context.arrived.elapsed());
                 let body = ResponseBody::full(content).with_memory(context.memory_guard);
                 return from_replica(&head, body);
             }
--- a/crates/stageyoke-front/src/pending_request.rs
+++ b/crates/stageyoke-front/src/pending_request.rs
@@ -1,6 +1,6 @@
 //! Tells the end of a request whose caller leaves before the answer.
 
-use stageyoke_observe::{self as observe, RequestStory as Summary};
+use stageyoke_observe::{self as observe, RequestSummary as Summary};
 use tokio::time::Instant;
 
 /// A request that has no answer yet. Its caller may leave: then nothing of it is
@@ -33,7 +33,7 @@
     fn drop(&mut self) {
         if !self.answered {
             self.summary.outcome = "caller_left";
-            observe::request_ended(&self.summary, self.arrived.elapsed());
+            observe::record_request(&self.summary, self.arrived.elapsed());
         }
     }
 }
--- a/crates/stageyoke-front/src/placement.rs
+++ b/crates/stageyoke-front/src/placement.rs
@@ -187,5 +187,5 @@
 
 /// Hash of a text.
 pub fn hash_text(text: &str) -> u64 {
-    hash::of_bytes(text.bytes())
+    hash::fnv1a(text.bytes())
 }
--- a/crates/stageyoke-front/src/quota.rs
+++ b/crates/stageyoke-front/src/quota.rs
@@ -144,7 +144,7 @@
     fn log_unknown(&self) {
         if self.log_limiter.try_acquire() {
             let detail = format!("fronts={}", self.fronts.get());
-            observe::event(Event::QuotaUnknown, &detail);
+            observe::record_event(Event::QuotaUnknown, &detail);
         }
     }
 
--- a/crates/stageyoke-front/src/replica.rs
+++ b/crates/stageyoke-front/src/replica.rs
@@ -213,7 +213,7 @@
             "replica={} evidence={evidence:?} failure={failure:.2} reports={reports}",
             self.id
         );
-        observe::event(event, &detail);
+        observe::record_event(event, &detail);
     }
 
     /// The longest rest after which a connection still takes a request.
--- a/crates/stageyoke-front/src/replica_log.rs
+++ b/crates/stageyoke-front/src/replica_log.rs
@@ -35,14 +35,14 @@
         if age <= self.bound || age == Duration::MAX {
             return;
         }
-        observe::metrics().old_list_requests.inc();
+        observe::metrics().stale_list_requests.inc();
         if self.log_limiter.try_acquire() {
             let reason = match unreachable {
                 true => "nobody tells a younger one",
                 false => "no answer in time",
             };
             let detail = format!("age={} reason={reason}", age.as_millis());
-            observe::event(Event::OldListUsed, &detail);
+            observe::record_event(Event::OldListUsed, &detail);
         }
     }
 }
@@ -57,7 +57,7 @@
         format_names(added),
         format_names(dropped)
     );
-    observe::event(Event::ReplicasChanged, &detail);
+    observe::record_event(Event::ReplicasChanged, &detail);
 }
 
 /// Tells that a replica is listed as another incarnation.
@@ -67,7 +67,7 @@
         describe_incarnation(before),
         describe_incarnation(after)
     );
-    observe::event(Event::ReplicaRestarted, &detail);
+    observe::record_event(Event::ReplicaRestarted, &detail);
 }
 
 fn describe_incarnation(record: &ReplicaRecord) -> String {
--- a/crates/stageyoke-front/src/replica_registry.rs
+++ b/crates/stageyoke-front/src/replica_registry.rs
@@ -236,7 +236,7 @@
         let used_for = until.saturating_duration_since(Instant::now()).as_millis();
         let ServiceReplicas { missing, all } = counts;
         let detail = format!("service={service} left={missing} of={all} used_for={used_for}");
-        observe::event(Event::ReplicasLapsed, &detail);
+        observe::record_event(Event::ReplicasLapsed, &detail);
     }
     for (id, replica) in replicas {
         if !records.contains_key(id) && lapsed.contains_key(&replica.record.service) {
--- a/crates/stageyoke-front/src/shutdown.rs
+++ b/crates/stageyoke-front/src/shutdown.rs
@@ -23,7 +23,7 @@
     /// Counts one more until the guard is dropped.
     pub fn track(&self) -> RequestGuard {
         self.0.count.set(self.0.count.get() + 1);
-        stageyoke_observe::metrics().under_way.inc();
+        stageyoke_observe::metrics().in_flight.inc();
         RequestGuard(self.0.clone())
     }
 
@@ -43,7 +43,7 @@
 impl Drop for RequestGuard {
     fn drop(&mut self) {
         let left = self.0.count.get() - 1;
-        stageyoke_observe::metrics().under_way.dec();
+        stageyoke_observe::metrics().in_flight.dec();
         self.0.count.set(left);
         if left == 0 {
             self.0.idle.notify_one();
--- a/crates/stageyoke-front/src/stream_relay.rs
+++ b/crates/stageyoke-front/src/stream_relay.rs
@@ -19,7 +19,7 @@
 use crate::replica::{InFlightGuard, Replica};
 use crate::request::ScopedIdentifiers;
 use crate::response_body::{Chunk, TruncatedResponse};
-use stageyoke_observe::{self as observe, RequestStory as Summary};
+use stageyoke_observe::{self as observe, RequestSummary as Summary};
 
 /// Pieces that wait for a caller who reads slowly.
 pub const CHUNK_BUFFER: usize = 16;
@@ -195,7 +195,7 @@
         let record = turn_record(&self.identifiers, input, received.output, used, retention);
         let began = Instant::now();
         let identifiers = self.storage.history.commit(record, self.deadline).await;
-        self.summary.keeping = began.elapsed().as_millis() as u64;
+        self.summary.store_turn_ms = began.elapsed().as_millis() as u64;
         if let Some(reservation) = &mut self.storage.reservation {
             reservation.mark_recorded();
         }
@@ -215,7 +215,7 @@
         if !matches!(end, StreamEnd::Whole) {
             summary.status = 0;
         }
-        observe::request_ended(&summary, self.arrived.elapsed());
+        observe::record_request(&summary, self.arrived.elapsed());
         match end {
             StreamEnd::Whole => self.upstream.replica.pool.release(self.upstream.connection),
             StreamEnd::CallerLeft => {}
--- a/crates/stageyoke-http/src/json_file.rs
+++ b/crates/stageyoke-http/src/json_file.rs
@@ -20,7 +20,7 @@
         file: NamedSource<String>,
         /// The place.
         #[label("{reason}")]
-        place: SourceSpan,
+        location: SourceSpan,
         /// What is wrong there.
         reason: String,
     },
@@ -39,7 +39,7 @@
         let place = text_offset(text, error.line(), error.column());
         JsonFileError::Invalid {
             file: NamedSource::new(path.display().to_string(), text.to_owned()),
-            place: place.into(),
+            location: place.into(),
             reason: error.to_string(),
         }
     })
--- a/crates/stageyoke-http/src/lenient.rs
+++ b/crates/stageyoke-http/src/lenient_list.rs
@@ -7,9 +7,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LenientList<T> {
     /// Those elements.
-    pub read: Vec<T>,
+    pub items: Vec<T>,
     /// How many others there were.
-    pub left_out: usize,
+    pub skipped: usize,
 }
 
 #[derive(Deserialize)]
@@ -23,12 +23,12 @@
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let elements = Vec::<Element<T>>::deserialize(deserializer)?;
         let all = elements.len();
-        let read = elements.into_iter().filter_map(|element| match element {
+        let items = elements.into_iter().filter_map(|element| match element {
             Element::Read(element) => Some(element),
             Element::Other(_) => None,
         });
-        let read: Vec<T> = read.collect();
-        let left_out = all - read.len();
-        Ok(Self { read, left_out })
+        let items: Vec<T> = items.collect();
+        let skipped = all - items.len();
+        Ok(Self { items, skipped })
     }
 }
--- a/crates/stageyoke-http/src/lib.rs
+++ b/crates/stageyoke-http/src/lib.rs
@@ -4,7 +4,7 @@
 
 pub mod durations;
 pub mod json_file;
-mod lenient;
+mod lenient_list;
 
 use std::cell::RefCell;
 use std::fmt;
@@ -21,7 +21,7 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-pub use lenient::LenientList;
+pub use lenient_list::LenientList;
 
 /// Why a call has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,7 +45,7 @@
 
 /// What was answered.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct HttpResponse {
     /// Status.
     pub status: StatusCode,
     /// The whole body.
@@ -54,7 +54,7 @@
 
 /// A service at one address. Needs a local task set.
 #[derive(Debug)]
-pub struct HttpService {
+pub struct HttpClient {
     address: SocketAddr,
     idle: RefCell<Vec<Connection>>,
 }
@@ -80,7 +80,7 @@
     }
 }
 
-impl HttpService {
+impl HttpClient {
     /// The service at this address.
     pub fn new(address: SocketAddr) -> Self {
         Self {
@@ -96,7 +96,7 @@
         path: &str,
         body: Bytes,
         within: Duration,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<HttpResponse, CallError> {
         let calling = self.exchange(method, path, body);
         let answered = tokio::time::timeout(within, calling).await;
         answered.map_err(no_answer)?
@@ -118,7 +118,12 @@
         Ok(Connection { sender, driver })
     }
 
-    async fn exchange(&self, method: Method, path: &str, body: Bytes) -> Result<Answer, CallError> {
+    async fn exchange(
+        &self,
+        method: Method,
+        path: &str,
+        body: Bytes,
+    ) -> Result<HttpResponse, CallError> {
         let mut connection = self.connect().await?;
         let doubt = Doubt(&self.idle);
         let request = Request::builder()
@@ -135,7 +140,7 @@
         let body = body.map_err(no_answer)?.to_bytes();
         std::mem::forget(doubt);
         self.idle.borrow_mut().push(connection);
-        Ok(Answer { status, body })
+        Ok(HttpResponse { status, body })
     }
 }
 
@@ -145,6 +150,6 @@
 }
 
 /// Escapes what has a meaning in a query.
-pub fn escape(text: &str) -> PercentEncode<'_> {
+pub fn percent_encode(text: &str) -> PercentEncode<'_> {
     utf8_percent_encode(text, NON_ALPHANUMERIC)
 }
--- a/crates/stageyoke-node/src/callers/answers.rs
+++ b/crates/stageyoke-node/src/callers/answers.rs
@@ -26,7 +26,7 @@
 impl ErrorBody {
     /// The body of a failure.
     pub fn of(failure: &Failure) -> Self {
-        let answer = failure.kind.answer();
+        let answer = failure.kind.response();
         let message = match failure.detail.as_str() {
             "" => answer.meaning.to_owned(),
             detail => format!("{} ({detail})", answer.meaning),
@@ -57,7 +57,7 @@
 /// The response to a failure, with advice on retrying. A retry is not advised
 /// where the outcome is unknown, unless the same key makes it harmless.
 pub fn failure(failure: &Failure) -> Response<Body> {
-    let answer = failure.kind.answer();
+    let answer = failure.kind.response();
     let status = StatusCode::from_u16(answer.http_status);
     let status = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut response = json(status, &ErrorBody::of(failure));
--- a/crates/stageyoke-node/src/driver.rs
+++ b/crates/stageyoke-node/src/driver.rs
@@ -281,7 +281,7 @@
 
     fn next_request(&mut self) -> RequestId {
         self.state.requests += 1;
-        RequestId::of_life(self.parts.life, self.state.requests)
+        RequestId::from_incarnation(self.parts.life, self.state.requests)
     }
 
     fn submit(
--- a/crates/stageyoke-node/src/server.rs
+++ b/crates/stageyoke-node/src/server.rs
@@ -84,7 +84,7 @@
         Ok(settings) => settings,
         Err(problems) => {
             eprintln!("{:?}", miette::Report::new(problems));
-            return ExitCode::from(ErrorKind::ConfigInvalid.answer().exit_code as u8);
+            return ExitCode::from(ErrorKind::ConfigInvalid.response().exit_code as u8);
         }
     };
     events::start_log(settings.log_format);
@@ -92,7 +92,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => {
             eprintln!("{report:?}");
-            ExitCode::from(ErrorKind::Internal.answer().exit_code as u8)
+            ExitCode::from(ErrorKind::Internal.response().exit_code as u8)
         }
     }
 }
--- a/crates/stageyoke-observe/src/events.rs
+++ b/crates/stageyoke-observe/src/events.rs
@@ -1,4 +1,4 @@
-//! Numbered events and the one line that tells a request's story.
+//! Numbered events and the one line that tells a request's summary.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 /// What decided a request.
 #[derive(Clone, Debug, Default)]
-pub struct RequestStory {
+pub struct RequestSummary {
     /// Request identifier.
     pub request: String,
     /// Program, if any.
@@ -16,7 +16,7 @@
     /// Tenant that holds the request's key, if any.
     pub tenant: String,
     /// The tenant's limit, in requests a second and beyond that at once.
-    pub limit: String,
+    pub rate_limit: String,
     /// Rank among other requests; zero is the highest.
     pub priority: u8,
     /// Route, once found.
@@ -24,7 +24,7 @@
     /// Version of the configuration.
     pub routes_version: u64,
     /// Milliseconds since the key-value service last answered.
-    pub directory_age: u64,
+    pub directory_age_ms: u64,
     /// Version of the store groups.
     pub members_version: u64,
     /// Replicas that were tried, each with its outcome.
@@ -39,73 +39,73 @@
     /// Turn that it goes on from, and what was found of it.
     pub history: String,
     /// Milliseconds that the request had when it arrived.
-    pub deadline: u64,
+    pub deadline_ms: u64,
     /// Milliseconds until its program should be over; zero if none was set.
-    pub finish: u64,
+    pub finish_ms: u64,
     /// Milliseconds until the first offer to a replica.
-    pub offered_after: u64,
+    pub first_offer_ms: u64,
     /// Milliseconds until the head of the answer.
-    pub head_after: u64,
+    pub response_head_ms: u64,
     /// Milliseconds that keeping the turn took.
-    pub keeping: u64,
+    pub store_turn_ms: u64,
     /// Status that the caller got; zero where it left or was cut.
     pub status: u16,
     /// Milliseconds after which a refused request may come back.
-    pub retry_after: u64,
+    pub retry_after_ms: u64,
     /// Outcome in a word.
     pub outcome: &'static str,
 }
 
 /// Tells the end of a request.
-pub fn request_ended(story: &RequestStory, elapsed: Duration) {
-    let ordinary = u64::from((200..300).contains(&story.status));
+pub fn record_request(summary: &RequestSummary, elapsed: Duration) {
+    let ordinary = u64::from((200..300).contains(&summary.status));
     log::info!(
         event = Event::RequestEnded.number(),
         ordinary = ordinary,
-        request = story.request.as_str(),
-        program = story.program.as_str(),
-        tenant = story.tenant.as_str(),
-        limit = story.limit.as_str(),
-        priority = story.priority,
-        route = story.route.as_str(),
-        routes_version = story.routes_version,
-        directory_age = story.directory_age,
-        members_version = story.members_version,
-        attempts = story.attempts.as_str(),
-        pending = story.pending.as_str(),
-        placement = story.placement.as_str(),
-        ledger = story.ledger.as_str(),
-        history = story.history.as_str(),
-        deadline = story.deadline,
-        finish = story.finish,
-        offered_after = story.offered_after,
-        head_after = story.head_after,
-        keeping = story.keeping,
-        status = story.status,
-        retry_after = story.retry_after,
-        outcome = story.outcome,
+        request = summary.request.as_str(),
+        program = summary.program.as_str(),
+        tenant = summary.tenant.as_str(),
+        limit = summary.rate_limit.as_str(),
+        priority = summary.priority,
+        route = summary.route.as_str(),
+        routes_version = summary.routes_version,
+        directory_age = summary.directory_age_ms,
+        members_version = summary.members_version,
+        attempts = summary.attempts.as_str(),
+        pending = summary.pending.as_str(),
+        placement = summary.placement.as_str(),
+        ledger = summary.ledger.as_str(),
+        history = summary.history.as_str(),
+        deadline = summary.deadline_ms,
+        finish = summary.finish_ms,
+        offered_after = summary.first_offer_ms,
+        head_after = summary.response_head_ms,
+        keeping = summary.store_turn_ms,
+        status = summary.status,
+        retry_after = summary.retry_after_ms,
+        outcome = summary.outcome,
         milliseconds = elapsed.as_millis() as u64;
         "{:?}", Event::RequestEnded
     );
     let metrics = metrics();
     metrics
         .requests
-        .with_label_values(&[route_label(&story.route), story.outcome])
+        .with_label_values(&[route_label(&summary.route), summary.outcome])
         .inc();
-    if !story.tenant.is_empty() && story.status >= 400 {
-        let tenant = tenant_label(&story.tenant);
+    if !summary.tenant.is_empty() && summary.status >= 400 {
+        let tenant = tenant_label(&summary.tenant);
         let failures = &metrics.tenant_failures;
-        failures.with_label_values(&[tenant, story.outcome]).inc();
+        failures.with_label_values(&[tenant, summary.outcome]).inc();
     }
     metrics.request_seconds.observe(elapsed.as_secs_f64());
-    if story.head_after > 0 {
-        let head = Duration::from_millis(story.head_after);
+    if summary.response_head_ms > 0 {
+        let head = Duration::from_millis(summary.response_head_ms);
         metrics.head_seconds.observe(head.as_secs_f64());
     }
 }
 
 /// Tells a numbered event with `key=value` details.
-pub fn event(event: Event, detail: &str) {
+pub fn record_event(event: Event, detail: &str) {
     let level = match event.level() {
         "error" => log::Level::Error,
         "warn" => log::Level::Warn,
--- a/crates/stageyoke-observe/src/explain.rs
+++ b/crates/stageyoke-observe/src/explain.rs
@@ -33,13 +33,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Explanation {
     /// Lines in the order of their time, ready to be shown.
-    pub story: Vec<String>,
+    pub timeline: Vec<String>,
     /// What the outcome means, for each request found.
     pub causes: Vec<String>,
     /// Lines that could not be read.
     pub unreadable: u64,
     /// Lines that the processes left out to stay within their budget.
-    pub left_out: u64,
+    pub omitted: u64,
 }
 
 /// A log file that can't be read.
@@ -118,10 +118,10 @@
         }
         shown.sort_by_key(|line| line.time);
         Explanation {
-            story: shown.iter().map(|line| show(line)).collect(),
+            timeline: shown.iter().map(|line| show(line)).collect(),
             causes: ends.iter().map(|line| cause(line)).collect(),
             unreadable: self.unreadable,
-            left_out: self.left_out,
+            omitted: self.left_out,
         }
     }
 }
@@ -242,7 +242,7 @@
 
 impl fmt::Display for Explanation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for line in &self.story {
+        for line in &self.timeline {
             writeln!(formatter, "{line}")?;
         }
         if self.causes.is_empty() {
@@ -257,7 +257,7 @@
         writeln!(
             formatter,
             "{} lines could not be read; {} were left out by the processes",
-            self.unreadable, self.left_out
+            self.unreadable, self.omitted
         )
     }
 }
--- a/crates/stageyoke-observe/src/lines.rs
+++ b/crates/stageyoke-observe/src/logger.rs
@@ -7,7 +7,7 @@
 use log::kv::{Key, Value, VisitSource};
 use serde_json::{Map, Value as Json};
 
-use crate::budget::{Budget, Importance};
+use crate::rate_limit::{Importance, LogRateLimiter};
 use crate::writer::LineQueue;
 
 /// Field that marks the ordinary end of a request.
@@ -18,7 +18,7 @@
 
 /// Sets up lines on standard output for the process of this machine. The level
 /// can be set by `STAGEYOKE_LOG`.
-pub fn start_log(node: &str) -> std::io::Result<()> {
+pub fn init_logger(node: &str) -> std::io::Result<()> {
     let _ = NODE.set(node.to_owned());
     let queue = LineQueue::start(std::io::stdout())?;
     let target = BudgetedTarget {
@@ -69,7 +69,7 @@
 /// Applies the budget to whole lines.
 struct BudgetedTarget {
     queue: LineQueue,
-    budget: Mutex<Budget>,
+    budget: Mutex<LogRateLimiter>,
     started: Instant,
 }
 
@@ -81,15 +81,15 @@
         };
         let now = self.started.elapsed();
         if budget.allow(now, line.len() as u64, importance) {
-            let left_out = budget.take_left_out();
+            let left_out = budget.take_suppressed();
             if left_out > 0 {
                 let dropped = self.queue.dropped();
                 let note = format!(
                     "{{\"name\":\"LinesLeftOut\",\"left_out\":{left_out},\"dropped\":{dropped}}}\n"
                 );
-                self.queue.put(note.into_bytes());
+                self.queue.enqueue(note.into_bytes());
             }
-            self.queue.put(line.to_vec());
+            self.queue.enqueue(line.to_vec());
         }
         Ok(line.len())
     }
--- a/crates/stageyoke-observe/src/metrics.rs
+++ b/crates/stageyoke-observe/src/metrics.rs
@@ -49,15 +49,15 @@
     /// Calls to the key-value service, by outcome.
     pub service_calls: IntCounterVec,
     /// Grants of requests, and their returns, that an owner of a limit did not hear of.
-    pub quota_untold: IntCounter,
+    pub quota_unreported: IntCounter,
     /// Requests of tenants that ended with a refusal or failure, by tenant and outcome.
     pub tenant_failures: IntCounterVec,
     /// First turns that were turned away for want of room at engines.
-    pub turned_away: IntCounter,
+    pub rejected_turns: IntCounter,
     /// Connections opened to replicas.
     pub connections_opened: IntCounter,
     /// Requests and streams under way.
-    pub under_way: IntGauge,
+    pub in_flight: IntGauge,
     /// Configuration in force.
     pub routes_version: IntGauge,
     /// Version of the store groups.
@@ -67,15 +67,15 @@
     /// Records that a store holds.
     pub records: IntGauge,
     /// Whether a store holds everything that it ever acknowledged.
-    pub complete: IntGauge,
+    pub store_complete: IntGauge,
     /// Whether the store's group is settled and all its members are there.
-    pub group_whole: IntGauge,
+    pub group_healthy: IntGauge,
     /// Time from a store's first notice of a loss in its group until it is whole, s.
-    pub heal_seconds: Histogram,
+    pub recovery_seconds: Histogram,
     /// Age of the directory when a request was routed by it, s.
     pub directory_age_seconds: Histogram,
     /// Requests that were placed by a list of replicas beyond the bound on changes.
-    pub old_list_requests: IntCounter,
+    pub stale_list_requests: IntCounter,
     /// Bytes of turns' inputs and outputs that a store keeps in memory.
     pub turn_bytes: IntGauge,
     /// Entries of all ledgers that a store keeps in memory.
@@ -86,10 +86,10 @@
 
 /// Routes that have a label of their own; the rest share one, since a long
 /// life meets more names than a page can hold.
-pub const LABELLED_ROUTES: usize = 256;
+pub const MAX_LABELLED_ROUTES: usize = 256;
 /// Tenants that have a label of their own, the first that are refused something; the
 /// rest share one. Each has a line for each outcome.
-pub const LABELLED_TENANTS: usize = 64;
+pub const MAX_LABELLED_TENANTS: usize = 64;
 const OTHERS: &str = "other";
 
 /// Names that have a label of their own.
@@ -98,13 +98,13 @@
 /// The label of a route.
 pub fn route_label(route: &str) -> &str {
     static SEEN: Labelled = OnceLock::new();
-    label(&SEEN, LABELLED_ROUTES, route)
+    label(&SEEN, MAX_LABELLED_ROUTES, route)
 }
 
 /// The label of a tenant.
 pub fn tenant_label(tenant: &str) -> &str {
     static SEEN: Labelled = OnceLock::new();
-    label(&SEEN, LABELLED_TENANTS, tenant)
+    label(&SEEN, MAX_LABELLED_TENANTS, tenant)
 }
 
 fn label<'a>(seen: &Labelled, most: usize, name: &'a str) -> &'a str {
@@ -159,14 +159,14 @@
                 "Calls to the key-value service.",
                 &["outcome"],
             ),
-            quota_untold: register(
+            quota_unreported: register(
                 &registry,
                 IntCounter::new(
                     "stageyoke_quota_untold_total",
                     "Grants and returns that an owner of a limit did not hear of.",
                 ),
             ),
-            old_list_requests: register(
+            stale_list_requests: register(
                 &registry,
                 IntCounter::new(
                     "stageyoke_old_list_requests_total",
@@ -178,7 +178,7 @@
                 "Requests of tenants that ended with status 400 or above.",
                 &["tenant", "outcome"],
             ),
-            turned_away: register(
+            rejected_turns: register(
                 &registry,
                 IntCounter::new(
                     "stageyoke_turned_away_total",
@@ -192,20 +192,20 @@
                     "Connections opened to replicas.",
                 ),
             ),
-            under_way: gauge("stageyoke_under_way", "Requests and streams under way."),
+            in_flight: gauge("stageyoke_under_way", "Requests and streams under way."),
             routes_version: gauge("stageyoke_routes_version", "Configuration in force."),
             members_version: gauge("stageyoke_members_version", "Version of the member list."),
             replicas: gauge("stageyoke_replicas", "Replicas that take work."),
             records: gauge("stageyoke_records", "Records that a store holds."),
-            complete: gauge(
+            store_complete: gauge(
                 "stageyoke_store_complete",
                 "1 once a store's disk is complete.",
             ),
-            group_whole: gauge(
+            group_healthy: gauge(
                 "stageyoke_group_whole",
                 "1 while the store's group is settled and all its members are there.",
             ),
-            heal_seconds: histogram(
+            recovery_seconds: histogram(
                 "stageyoke_heal_seconds",
                 "Until a store's group is whole again.",
                 HEAL_BUCKETS,
@@ -255,7 +255,7 @@
 /// a local task set.
 pub async fn serve(address: SocketAddr) {
     if let Err(error) = listen(address).await {
-        crate::event(Event::MetricsUnavailable, &format!("{address}: {error}"));
+        crate::record_event(Event::MetricsUnavailable, &format!("{address}: {error}"));
     }
 }
 
--- a/crates/stageyoke-observe/src/budget.rs
+++ b/crates/stageyoke-observe/src/rate_limit.rs
@@ -20,13 +20,13 @@
 
 /// A bucket of bytes that fills with time.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct LogRateLimiter {
     left: u64,
     filled_at: Duration,
     left_out: u64,
 }
 
-impl Default for Budget {
+impl Default for LogRateLimiter {
     fn default() -> Self {
         Self {
             left: BURST_BYTES,
@@ -36,7 +36,7 @@
     }
 }
 
-impl Budget {
+impl LogRateLimiter {
     /// Whether a line of this size may be written now; `now` is a reading of a
     /// steady clock. A line that may not is counted.
     pub fn allow(&mut self, now: Duration, bytes: u64, importance: Importance) -> bool {
@@ -54,7 +54,7 @@
     }
 
     /// Lines left out since this was last asked.
-    pub fn take_left_out(&mut self) -> u64 {
+    pub fn take_suppressed(&mut self) -> u64 {
         std::mem::take(&mut self.left_out)
     }
 
--- a/crates/stageyoke-observe/src/writer.rs
+++ b/crates/stageyoke-observe/src/writer.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// Lines that may wait for the thread.
-pub const QUEUED_LINES: usize = 4096;
+pub const MAX_QUEUED_LINES: usize = 4096;
 /// The thread gathers lines this long, so that it wakes seldom.
 const GATHER: Duration = Duration::from_millis(50);
 
@@ -22,7 +22,7 @@
 impl LineQueue {
     /// Starts the thread that writes to `target`.
     pub fn start(target: impl Write + Send + 'static) -> std::io::Result<Self> {
-        let (lines, inbox) = sync_channel(QUEUED_LINES);
+        let (lines, inbox) = sync_channel(MAX_QUEUED_LINES);
         std::thread::Builder::new()
             .name("log".to_owned())
             .stack_size(128 * 1024)
@@ -34,7 +34,7 @@
     }
 
     /// Queues a line, or counts it as dropped.
-    pub fn put(&self, line: Vec<u8>) {
+    pub fn enqueue(&self, line: Vec<u8>) {
         if self.lines.try_send(line).is_err() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
--- a/crates/stageyoke-observe/tests/explain_test.rs
+++ b/crates/stageyoke-observe/tests/explain_test.rs
@@ -32,12 +32,12 @@
     );
     assert!(told.causes[1].contains("exceed the budget"));
     assert!(told.causes[1].contains("others=90"));
-    assert_eq!(told.story.len(), 3, "{:#?}", told.story);
+    assert_eq!(told.timeline.len(), 3, "{:#?}", told.timeline);
     assert!(
-        told.story[0].contains("GroupFailing"),
+        told.timeline[0].contains("GroupFailing"),
         "what happened around it is shown"
     );
-    assert_eq!((told.unreadable, told.left_out), (2, 7));
+    assert_eq!((told.unreadable, told.omitted), (2, 7));
 }
 
 #[test]
@@ -63,8 +63,8 @@
     logs.add(&waits(90_000, "store-3", "waits_for=fence version=9"));
     logs.add(&ended(60_000, "front-1", "r-1", "store_group_failing", 503));
     let told = logs.explain("r-1");
-    assert_eq!(told.story.len(), 2, "{:#?}", told.story);
-    assert!(told.story[0].contains("store-1 ListWaits detail=waits_for=successor"));
+    assert_eq!(told.timeline.len(), 2, "{:#?}", told.timeline);
+    assert!(told.timeline[0].contains("store-1 ListWaits detail=waits_for=successor"));
 }
 
 /// From a refusal for a tenant's sake to its cause, with what happened around it: who it
@@ -102,5 +102,5 @@
     assert!(cause.contains(meaning), "{cause}");
     assert!(cause.contains("tenant [ann] limit [22+22]"), "{cause}");
     assert!(cause.contains("routes version 9 of 700 ms ago"), "{cause}");
-    assert!(told.story.iter().any(|line| line.contains(around)));
+    assert!(told.timeline.iter().any(|line| line.contains(around)));
 }
--- a/crates/stageyoke-observe/tests/observe_test.rs
+++ b/crates/stageyoke-observe/tests/observe_test.rs
@@ -4,15 +4,15 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-use stageyoke_observe::budget::{BURST_BYTES, BYTES_PER_SECOND, Budget, Importance};
-use stageyoke_observe::lines::to_json;
-use stageyoke_observe::writer::{LineQueue, QUEUED_LINES};
+use stageyoke_observe::logger::to_json;
+use stageyoke_observe::rate_limit::{BURST_BYTES, BYTES_PER_SECOND, Importance, LogRateLimiter};
+use stageyoke_observe::writer::{LineQueue, MAX_QUEUED_LINES};
 
 const LINE: u64 = 300;
 
 #[test]
 fn the_long_run_stays_within_the_bytes_a_second() {
-    let mut budget = Budget::default();
+    let mut budget = LogRateLimiter::default();
     let mut written = 0;
     const SECONDS: u64 = 20;
     for tick in 0..SECONDS * 1_000 {
@@ -25,12 +25,12 @@
     }
     assert!(written <= BURST_BYTES + SECONDS * BYTES_PER_SECOND);
     assert!(written >= SECONDS * BYTES_PER_SECOND * 9 / 10);
-    assert!(budget.take_left_out() > 0);
+    assert!(budget.take_suppressed() > 0);
 }
 
 #[test]
 fn ordinary_lines_give_way_before_any_failure_does() {
-    let mut budget = Budget::default();
+    let mut budget = LogRateLimiter::default();
     let mut ordinary = 0;
     while budget.allow(Duration::ZERO, LINE, Importance::Ordinary) {
         ordinary += 1;
@@ -41,7 +41,7 @@
     }
     assert!(ordinary > 0);
     assert!(failures >= BURST_BYTES / 2 / LINE);
-    assert_eq!(budget.take_left_out(), 2);
+    assert_eq!(budget.take_suppressed(), 2);
 }
 
 struct StalledReader(Receiver<()>);
@@ -60,11 +60,11 @@
 fn a_stalled_reader_delays_nobody() {
     let (release, stalled) = channel();
     let queue = LineQueue::start(StalledReader(stalled)).expect("thread");
-    for _ in 0..4 * QUEUED_LINES {
-        queue.put(b"line\n".to_vec());
+    for _ in 0..4 * MAX_QUEUED_LINES {
+        queue.enqueue(b"line\n".to_vec());
     }
     // Reaching this point is the proof: nothing waits for the reader.
-    assert!(queue.dropped() >= 2 * QUEUED_LINES as u64);
+    assert!(queue.dropped() >= 2 * MAX_QUEUED_LINES as u64);
     drop(release);
 }
 
@@ -105,24 +105,24 @@
 
 #[test]
 fn routes_beyond_the_labelled_ones_share_a_label() {
-    use stageyoke_observe::metrics::{LABELLED_ROUTES, route_label};
-    let names: Vec<String> = (0..4 * LABELLED_ROUTES)
+    use stageyoke_observe::metrics::{MAX_LABELLED_ROUTES, route_label};
+    let names: Vec<String> = (0..4 * MAX_LABELLED_ROUTES)
         .map(|number| format!("r-{number}"))
         .collect();
     let labels: std::collections::HashSet<&str> =
         names.iter().map(|name| route_label(name)).collect();
-    assert!(labels.len() <= LABELLED_ROUTES + 1);
+    assert!(labels.len() <= MAX_LABELLED_ROUTES + 1);
     assert_eq!(route_label(&names[0]), names[0], "the first keep theirs");
 }
 
 #[test]
 fn tenants_beyond_the_labelled_ones_share_a_label() {
-    use stageyoke_observe::metrics::{LABELLED_TENANTS, tenant_label};
-    let names: Vec<String> = (0..4 * LABELLED_TENANTS)
+    use stageyoke_observe::metrics::{MAX_LABELLED_TENANTS, tenant_label};
+    let names: Vec<String> = (0..4 * MAX_LABELLED_TENANTS)
         .map(|number| format!("t-{number}"))
         .collect();
     let labels: std::collections::HashSet<&str> =
         names.iter().map(|name| tenant_label(name)).collect();
-    assert!(labels.len() <= LABELLED_TENANTS + 1);
+    assert!(labels.len() <= MAX_LABELLED_TENANTS + 1);
     assert_eq!(tenant_label(&names[0]), names[0], "the first keep theirs");
 }
--- a/crates/stageyoke-sim/src/checks.rs
+++ b/crates/stageyoke-sim/src/checks.rs
@@ -456,7 +456,12 @@
         let is_final = outcome.final_operations.contains(&submission.operation);
         if let Some(CallAnswer::Failed(failure)) = answers.get(&submission.operation)
             && is_final
-            && failure.kind.answer().retry.retry_after_seconds().is_some()
+            && failure
+                .kind
+                .response()
+                .retry
+                .retry_after_seconds()
+                .is_some()
             && !is_destroyed(outcome, submission.program)
         {
             return broken(
--- a/crates/stageyoke-sim/src/cluster/callers.rs
+++ b/crates/stageyoke-sim/src/cluster/callers.rs
@@ -28,7 +28,7 @@
         self.next_operation += 1;
         let operation = OperationId(self.next_operation);
         let life = self.machines[index].member_life;
-        submission.request = RequestId::of_life(life, self.next_request);
+        submission.request = RequestId::from_incarnation(life, self.next_request);
         let gateway = self.machines[index].id;
         self.operations
             .insert((gateway, submission.request), operation);
@@ -58,7 +58,8 @@
             return;
         }
         self.next_request += 1;
-        let request = RequestId::of_life(self.machines[index].member_life, self.next_request);
+        let request =
+            RequestId::from_incarnation(self.machines[index].member_life, self.next_request);
         let gateway = self.machines[index].id;
         self.queries.insert((gateway, request), program.clone());
         if end {
--- a/crates/stageyoke-store/src/frame.rs
+++ b/crates/stageyoke-store/src/frame.rs
@@ -135,6 +135,6 @@
 pub fn log_read_error(peer: &str, error: &io::Error) {
     if error.kind() == io::ErrorKind::InvalidData {
         let detail = format!("peer={peer} reason={error}");
-        observe::event(Event::PeerRefused, &detail);
+        observe::record_event(Event::PeerRefused, &detail);
     }
 }
--- a/crates/stageyoke-store/src/journal.rs
+++ b/crates/stageyoke-store/src/journal.rs
@@ -181,7 +181,7 @@
         };
         if let Err(error) = outcome {
             // What was to be kept is known to the process; only its next life may lack it.
-            observe::event(Event::DiskRefuses, &format!("housekeeping error={error}"));
+            observe::record_event(Event::DiskRefuses, &format!("housekeeping error={error}"));
         }
     }
 
--- a/crates/stageyoke-store/src/local_store.rs
+++ b/crates/stageyoke-store/src/local_store.rs
@@ -343,7 +343,7 @@
             }
             let metrics = observe::metrics();
             metrics.records.set(self.journal_end().next as i64);
-            metrics.complete.set(i64::from(self.is_complete()));
+            metrics.store_complete.set(i64::from(self.is_complete()));
             let state = self.state.borrow();
             metrics.turn_bytes.set(state.cached_turn_bytes() as i64);
             let entries = state.ledger_entry_count();
@@ -357,8 +357,10 @@
             return;
         }
         match refuses {
-            true => observe::event(Event::DiskRefuses, &format!("ticket={}", appended.ticket)),
-            false => observe::event(Event::DependencyRegained, "disk"),
+            true => {
+                observe::record_event(Event::DiskRefuses, &format!("ticket={}", appended.ticket))
+            }
+            false => observe::record_event(Event::DependencyRegained, "disk"),
         }
     }
 
@@ -409,12 +411,12 @@
                 }
                 Ok(records) => {
                     let detail = format!("segment={} records={}", segment.number, records.len());
-                    observe::event(Event::SegmentUnreadable, &detail);
+                    observe::record_event(Event::SegmentUnreadable, &detail);
                     break;
                 }
                 Err(error) => {
                     let detail = format!("segment={} error={error}", segment.number);
-                    observe::event(Event::SegmentUnreadable, &detail);
+                    observe::record_event(Event::SegmentUnreadable, &detail);
                     break;
                 }
             }
--- a/crates/stageyoke-store/src/peer_sync.rs
+++ b/crates/stageyoke-store/src/peer_sync.rs
@@ -297,7 +297,7 @@
         if waits && self.is_caught_up_with_group() {
             self.local_store.declare_complete();
             let detail = format!("members_version={}", self.local_store.members().version);
-            observe::event(Event::StoreComplete, &detail);
+            observe::record_event(Event::StoreComplete, &detail);
         }
     }
 }
--- a/crates/stageyoke-store/src/peer_version.rs
+++ b/crates/stageyoke-store/src/peer_version.rs
@@ -75,7 +75,7 @@
         older.inc();
         if older.get() == 1 {
             let detail = format!("peer={peer} version={version} own={VERSION}");
-            observe::event(Event::OlderPeer, &detail);
+            observe::record_event(Event::OlderPeer, &detail);
         }
         Self
     }
@@ -86,7 +86,7 @@
         let older = &observe::metrics().older_peers;
         older.dec();
         if older.get() == 0 {
-            observe::event(Event::OlderPeersGone, &format!("own={VERSION}"));
+            observe::record_event(Event::OlderPeersGone, &format!("own={VERSION}"));
         }
     }
 }
--- a/crates/stageyoke-store/src/quota_owners.rs
+++ b/crates/stageyoke-store/src/quota_owners.rs
@@ -259,7 +259,7 @@
 /// not hear of it counts it until it leaves the window.
 pub(crate) fn refund(grant: &QuotaGrant, client: Option<Rc<StoreClient>>) {
     let Some(owner) = client else {
-        metrics().quota_untold.inc();
+        metrics().quota_unreported.inc();
         return;
     };
     let request = Request::QuotaRefund {
@@ -272,7 +272,7 @@
 /// Tells an owner something that it may miss; how often it does is counted.
 async fn tell(owner: Rc<StoreClient>, request: Request) {
     if owner.call(request, TELL_WITHIN).await.is_err() {
-        metrics().quota_untold.inc();
+        metrics().quota_unreported.inc();
     }
 }
 
--- a/crates/stageyoke-store/src/recovery_monitor.rs
+++ b/crates/stageyoke-store/src/recovery_monitor.rs
@@ -60,7 +60,7 @@
         }
         self.told.set(Some(wait));
         let detail = format!("waits_for={waiting} version={members_version} {}", counts());
-        observe::event(Event::ListWaits, &detail);
+        observe::record_event(Event::ListWaits, &detail);
     }
 
     /// Measures from the moment at which something is missing to the one at which the
@@ -68,11 +68,11 @@
     fn measure(&self, waiting: WaitReason) {
         let metrics = observe::metrics();
         let whole = matches!(waiting, WaitReason::Nothing | WaitReason::Room);
-        metrics.group_whole.set(i64::from(whole));
+        metrics.group_healthy.set(i64::from(whole));
         match (whole, self.hurt_since.get()) {
             (true, Some(since)) => {
                 let seconds = since.elapsed().as_secs_f64();
-                metrics.heal_seconds.observe(seconds);
+                metrics.recovery_seconds.observe(seconds);
                 self.hurt_since.set(None);
             }
             (false, None) => self.hurt_since.set(Some(Instant::now())),
--- a/crates/stageyoke-store/src/store_host.rs
+++ b/crates/stageyoke-store/src/store_host.rs
@@ -150,7 +150,7 @@
             recovered.completeness,
             recovered.state.journal_end().journal
         );
-        observe::event(Event::LogRecovered, &detail);
+        observe::record_event(Event::LogRecovered, &detail);
         let kept_items = folder.read_items();
         let node = settings.node.clone();
         let (local_store, results) = LocalStore::open(node, folder, recovered, settings.limits)?;
@@ -159,7 +159,7 @@
         let peers = Rc::new(Peers::new(local_store.clone(), settings.tolerance.clone()));
         let listener = TcpListener::bind(settings.listen).await?;
         let detail = format!("node={} {}", settings.node, describe_build());
-        observe::event(Event::NodeStarted, &detail);
+        observe::record_event(Event::NodeStarted, &detail);
         tokio::task::spawn_local(server::serve(local_store.clone(), listener));
         let collector = local_store.clone();
         tokio::task::spawn_local(async move { collector.process_journal_results(results).await });
@@ -535,7 +535,7 @@
             stores.version,
             describe(&stores)
         );
-        observe::event(Event::MembersProposed, &detail);
+        observe::record_event(Event::MembersProposed, &detail);
         if outcome != Ok(TransactionOutcome::Done(0)) {
             // Done, lost to another store, or without an answer: the groups
             // themselves say.
@@ -554,7 +554,7 @@
         };
         let outcome = self.mirror.service.transact(&transaction).await;
         let detail = format!("state={:?} outcome={outcome:?}", store.state);
-        observe::event(Event::StoreRegistered, &detail);
+        observe::record_event(Event::StoreRegistered, &detail);
     }
 
     fn stores_write(&self, stores: &StoreGroups) -> Write {
--- a/crates/stageyoke-store/src/store_host/events.rs
+++ b/crates/stageyoke-store/src/store_host/events.rs
@@ -26,12 +26,14 @@
 pub fn log_mirror_event(event: MirrorEvent) {
     match event {
         MirrorEvent::Changed(changed) => {
-            observe::event(Event::ViewChanged, &format!("{changed:?}"));
+            observe::record_event(Event::ViewChanged, &format!("{changed:?}"));
         }
         MirrorEvent::Lost(error) => {
-            observe::event(Event::StoreUnreachable, &format!("error={error}"));
+            observe::record_event(Event::StoreUnreachable, &format!("error={error}"));
         }
-        MirrorEvent::Regained => observe::event(Event::DependencyRegained, "key-value service"),
-        MirrorEvent::Unreadable(reason) => observe::event(Event::ItemUnreadable, &reason),
+        MirrorEvent::Regained => {
+            observe::record_event(Event::DependencyRegained, "key-value service")
+        }
+        MirrorEvent::Unreadable(reason) => observe::record_event(Event::ItemUnreadable, &reason),
     }
 }
--- a/crates/stageyoke-types/src/error.rs
+++ b/crates/stageyoke-types/src/error.rs
@@ -73,9 +73,9 @@
             pub const ALL: &'static [ErrorKind] = &[$(ErrorKind::$kind),*];
 
             /// The answer that belongs to this kind.
-            pub fn answer(self) -> Answer {
+            pub fn response(self) -> ErrorResponse {
                 match self {
-                    $(ErrorKind::$kind => Answer {
+                    $(ErrorKind::$kind => ErrorResponse {
                         name: $name, http_status: $status, exit_code: $exit,
                         retry: $retry, meaning: $meaning,
                     },)*
@@ -87,7 +87,7 @@
 
 /// How one error kind is presented.
 #[derive(Clone, Copy, Debug)]
-pub struct Answer {
+pub struct ErrorResponse {
     /// Value of the `kind` field in an error body.
     pub name: &'static str,
     /// HTTP status towards callers.
@@ -130,7 +130,7 @@
 impl ErrorKind {
     /// The kind as it appears in error bodies and logs.
     pub fn name(self) -> &'static str {
-        self.answer().name
+        self.response().name
     }
 }
 
--- a/crates/stageyoke-types/src/hash.rs
+++ b/crates/stageyoke-types/src/hash.rs
@@ -2,7 +2,7 @@
 //! secrets.
 
 /// Hash of bytes (FNV-1a, 64 bits).
-pub fn of_bytes(bytes: impl IntoIterator<Item = u8>) -> u64 {
+pub fn fnv1a(bytes: impl IntoIterator<Item = u8>) -> u64 {
     bytes
         .into_iter()
         .fold(0xcbf2_9ce4_8422_2325, |hash: u64, byte| {
@@ -18,7 +18,7 @@
 }
 
 /// The place of a hash between 0 and 1, below 1.
-pub fn unit(hash: u64) -> f64 {
+pub fn to_unit_interval(hash: u64) -> f64 {
     const BITS: u32 = f64::MANTISSA_DIGITS;
     (hash >> (u64::BITS - BITS)) as f64 / (1_u64 << BITS) as f64
 }
--- a/crates/stageyoke-types/src/identifiers.rs
+++ b/crates/stageyoke-types/src/identifiers.rs
@@ -121,13 +121,13 @@
     /// The `count`th request of one life of a node. A node that restarts with
     /// its disk keeps its identifier but none of its callers' connections, so
     /// requests name the life they belong to.
-    pub fn of_life(life: u16, count: u64) -> Self {
+    pub fn from_incarnation(life: u16, count: u64) -> Self {
         let count = count & ((1 << REQUEST_COUNT_BITS) - 1);
         Self(u64::from(life) << REQUEST_COUNT_BITS | count)
     }
 
     /// The life of the node that made the request.
-    pub fn life(self) -> u16 {
+    pub fn incarnation(self) -> u16 {
         (self.0 >> REQUEST_COUNT_BITS) as u16
     }
 }
--- a/crates/stageyoke-types/src/lib.rs
+++ b/crates/stageyoke-types/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod event;
 pub mod hash;
 pub mod identifiers;
-mod place;
+mod text_position;
 
 pub use bounded::{Blob, List, Text};
 pub use error::{ErrorKind, RetryAdvice, RunState};
@@ -16,4 +16,4 @@
     Attempt, CallNumber, ConfigVersion, EngineId, IdempotencyKey, NodeId, ProgramId, ProgramKey,
     RequestId, ShardId, TenantId, Term, Time,
 };
-pub use place::text_offset;
+pub use text_position::text_offset;
--- a/crates/stageyoke-types/tests/catalogue_test.rs
+++ b/crates/stageyoke-types/tests/catalogue_test.rs
@@ -18,7 +18,7 @@
     let expected: Vec<String> = ErrorKind::ALL
         .iter()
         .map(|kind| {
-            let answer = kind.answer();
+            let answer = kind.response();
             format!(
                 "| `{}` | {} | {} | {} | {} |",
                 answer.name, answer.http_status, answer.exit_code, answer.retry, answer.meaning
@@ -50,7 +50,7 @@
     let names: HashSet<_> = ErrorKind::ALL.iter().map(|kind| kind.name()).collect();
     let exits: HashSet<_> = ErrorKind::ALL
         .iter()
-        .map(|kind| kind.answer().exit_code)
+        .map(|kind| kind.response().exit_code)
         .collect();
     let numbers: HashSet<_> = Event::ALL.iter().map(|event| event.number()).collect();
     assert_eq!(names.len(), ErrorKind::ALL.len());
