--- a/crates/stageyoke-observe/src/events.rs
+++ b/crates/stageyoke-observe/src/events.rs
@@ -1,4 +1,4 @@
-//! Numbered events and the one line that tells a request's summary.
+//! Logs and counts numbered events and the summary line of each request.
 
 use std::time::Duration;
 
@@ -6,57 +6,57 @@
 
 use crate::metrics::{metrics, route_label, tenant_label};
 
-/// What decided a request.
+/// The inputs and the outcome of one request, for its log line.
 #[derive(Clone, Debug, Default)]
 pub struct RequestSummary {
-    /// Request identifier.
+    /// Identifier of the request.
     pub request: String,
-    /// Program, if any.
+    /// Identifier of the program; empty if the request has none.
     pub program: String,
-    /// Tenant that holds the request's key, if any.
+    /// Tenant that the request's key belongs to; empty if none.
     pub tenant: String,
-    /// The tenant's limit, in requests a second and beyond that at once.
+    /// Rate limit of the tenant: requests per second and burst.
     pub rate_limit: String,
-    /// Rank among other requests; zero is the highest.
+    /// Priority class; 0 is the highest.
     pub priority: u8,
-    /// Route, once found.
+    /// Name of the matching route; empty until it is found.
     pub route: String,
-    /// Version of the configuration.
+    /// Version of the configuration in use.
     pub routes_version: u64,
-    /// Milliseconds since the key-value service last answered.
+    /// Age of the directory: milliseconds since the key-value service last answered.
     pub directory_age_ms: u64,
-    /// Version of the store groups.
+    /// Version of the store member list.
     pub members_version: u64,
-    /// Replicas that were tried, each with its outcome.
+    /// Replicas tried, each with the outcome of the attempt.
     pub attempts: String,
-    /// Replica whose answer was waited for when the request ended, if any.
+    /// Replica that had not answered yet when the request ended; empty if none.
     pub pending: String,
-    /// What placed the request: load, tokens to read and the rates of the chosen
+    /// Inputs of the placement decision: load, uncached tokens and rates of the chosen
     /// replica.
     pub placement: String,
-    /// Budget and what others had used or reserved of it.
+    /// Token budget of the program, and the tokens already used or reserved.
     pub ledger: String,
-    /// Turn that it goes on from, and what was found of it.
+    /// Previous turn that the request continues, and the result of its lookup.
     pub history: String,
-    /// Milliseconds that the request had when it arrived.
+    /// Milliseconds from arrival to the request's deadline.
     pub deadline_ms: u64,
-    /// Milliseconds until its program should be over; zero if none was set.
+    /// Milliseconds to the program's deadline; 0 if it has none.
     pub finish_ms: u64,
-    /// Milliseconds until the first offer to a replica.
+    /// Milliseconds from arrival to the first dispatch to a replica.
     pub first_offer_ms: u64,
-    /// Milliseconds until the head of the answer.
+    /// Milliseconds from arrival to the response head; 0 if none arrived.
     pub response_head_ms: u64,
-    /// Milliseconds that keeping the turn took.
+    /// Milliseconds taken to store the turn on a quorum.
     pub store_turn_ms: u64,
-    /// Status that the caller got; zero where it left or was cut.
+    /// HTTP status sent to the caller; 0 if it disconnected or its stream was cut off.
     pub status: u16,
-    /// Milliseconds after which a refused request may come back.
+    /// Milliseconds after which a rejected request may be retried.
     pub retry_after_ms: u64,
-    /// Outcome in a word.
+    /// Outcome code, also used as a metric label.
     pub outcome: &'static str,
 }
 
-/// Tells the end of a request.
+/// Logs the summary of a finished request and updates the request metrics.
 pub fn record_request(summary: &RequestSummary, elapsed: Duration) {
     let ordinary = u64::from((200..300).contains(&summary.status));
     log::info!(
@@ -99,12 +99,12 @@
     }
     metrics.request_seconds.observe(elapsed.as_secs_f64());
     if summary.response_head_ms > 0 {
-        let head = Duration::from_millis(summary.response_head_ms);
-        metrics.head_seconds.observe(head.as_secs_f64());
+        let response_head = Duration::from_millis(summary.response_head_ms);
+        metrics.head_seconds.observe(response_head.as_secs_f64());
     }
 }
 
-/// Tells a numbered event with `key=value` details.
+/// Logs a numbered event with `key=value` details and counts it.
 pub fn record_event(event: Event, detail: &str) {
     let level = match event.level() {
         "error" => log::Level::Error,
--- a/crates/stageyoke-observe/src/explain.rs
+++ b/crates/stageyoke-observe/src/explain.rs
@@ -1,4 +1,5 @@
-//! The story of one request or program, from the lines of several processes.
+//! Reconstructs the history of one request or program from the logs of several
+//! processes.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,41 +9,42 @@
 use serde_json::{Map, Value};
 use stageyoke_types::Event;
 
-/// How long before and after a request's end other events are shown, ms.
-const AROUND_MILLISECONDS: u64 = 3_000;
+/// Events up to this many milliseconds before a request's arrival or after its end are
+/// shown with it.
+const CONTEXT_WINDOW_MS: u64 = 3_000;
 
-/// How a store says that its group is whole.
-const WAITS_FOR_NOTHING: &str = "waits_for=nothing";
+/// Start of the detail of a `ListWaits` event when the store group needs nothing.
+const NO_WAIT_PREFIX: &str = "waits_for=nothing";
 
-/// One line that could be read.
+/// One parsed log line.
 #[derive(Clone, Debug, PartialEq)]
-struct Line {
+struct LogLine {
     time: u64,
     fields: Map<String, Value>,
 }
 
-/// Lines of one or more processes.
+/// Parsed log lines of one or more processes.
 #[derive(Clone, Debug, Default)]
 pub struct Logs {
-    lines: Vec<Line>,
+    lines: Vec<LogLine>,
     unreadable: u64,
-    left_out: u64,
+    omitted: u64,
 }
 
-/// What the logs say of an identifier.
+/// Everything that the logs contain about one identifier.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Explanation {
-    /// Lines in the order of their time, ready to be shown.
+    /// Formatted log lines, ordered by time.
     pub timeline: Vec<String>,
-    /// What the outcome means, for each request found.
+    /// Explanation of the outcome of each request found, ordered by time.
     pub causes: Vec<String>,
-    /// Lines that could not be read.
+    /// Number of lines that could not be parsed.
     pub unreadable: u64,
-    /// Lines that the processes left out to stay within their budget.
+    /// Number of lines that the processes suppressed by rate limiting.
     pub omitted: u64,
 }
 
-/// A log file that can't be read.
+/// Error returned when a log file can't be read.
 #[derive(Debug)]
 pub struct UnreadableFile {
     path: PathBuf,
@@ -58,7 +60,7 @@
 impl std::error::Error for UnreadableFile {}
 
 impl Logs {
-    /// The lines of these files, or of standard input where there are none.
+    /// Reads the given files, or standard input if `files` is empty.
     pub fn read(files: &[PathBuf]) -> Result<Self, UnreadableFile> {
         let unreadable = |path: &PathBuf, error| UnreadableFile {
             path: path.clone(),
@@ -77,105 +79,117 @@
         Ok(logs)
     }
 
-    /// Adds the lines of one process's log; torn and foreign ones are counted.
+    /// Adds the lines of one process's log. Counts those that are not JSON objects as
+    /// unreadable.
     pub fn add(&mut self, text: &str) {
         for line in text.lines().filter(|line| !line.trim().is_empty()) {
-            // A collector may have put its own words before the object.
+            // Skip any prefix that a log collector has added before the object.
             let object = line.find('{').map_or("", |start| &line[start..]);
             match serde_json::from_str::<Map<String, Value>>(object) {
-                Ok(fields) => self.take(fields),
+                Ok(fields) => self.add_fields(fields),
                 Err(_) => self.unreadable += 1,
             }
         }
     }
 
-    fn take(&mut self, fields: Map<String, Value>) {
-        self.left_out += fields.get("left_out").and_then(Value::as_u64).unwrap_or(0);
+    fn add_fields(&mut self, fields: Map<String, Value>) {
+        self.omitted += fields.get("left_out").and_then(Value::as_u64).unwrap_or(0);
         if let Some(time) = fields.get("time").and_then(Value::as_u64) {
-            self.lines.push(Line { time, fields });
+            self.lines.push(LogLine { time, fields });
         }
     }
 
-    /// What is known of a request's or a program's identifier.
+    /// Collects the requests with this request or program identifier and the events of
+    /// all processes around them.
     pub fn explain(&self, identifier: &str) -> Explanation {
-        let own = |line: &Line| {
+        let matches_identifier = |line: &LogLine| {
             ["request", "program"]
                 .iter()
-                .any(|field| text(line, field) == identifier)
+                .any(|field| text_field(line, field) == identifier)
         };
-        let mut ends: Vec<&Line> = self.lines.iter().filter(|line| own(line)).collect();
-        ends.sort_by_key(|line| line.time);
-        let mut shown: Vec<&Line> = ends.clone();
+        let mut requests: Vec<&LogLine> = self
+            .lines
+            .iter()
+            .filter(|line| matches_identifier(line))
+            .collect();
+        requests.sort_by_key(|line| line.time);
+        let mut selected: Vec<&LogLine> = requests.clone();
         for line in &self.lines {
-            let near = ends.iter().any(|end| near(line, end));
-            if near && !is_request(line) {
-                shown.push(line);
+            let is_nearby = requests.iter().any(|request| is_near(line, request));
+            if is_nearby && !is_request(line) {
+                selected.push(line);
             }
         }
-        if let Some(last) = ends.last() {
-            let waits = self.open_waits(last.time);
-            shown.extend(waits.filter(|line| !ends.iter().any(|end| near(line, end))));
+        if let Some(last) = requests.last() {
+            let waits = self.unresolved_waits(last.time);
+            selected.extend(
+                waits.filter(|line| !requests.iter().any(|request| is_near(line, request))),
+            );
         }
-        shown.sort_by_key(|line| line.time);
+        selected.sort_by_key(|line| line.time);
         Explanation {
-            timeline: shown.iter().map(|line| show(line)).collect(),
-            causes: ends.iter().map(|line| cause(line)).collect(),
+            timeline: selected.iter().map(|line| format_line(line)).collect(),
+            causes: requests.iter().map(|line| explain_outcome(line)).collect(),
             unreadable: self.unreadable,
-            omitted: self.left_out,
+            omitted: self.omitted,
         }
     }
 }
 
 impl Logs {
-    /// What each store still waited for at that time, however long before it said so:
-    /// a group that can't heal says why once.
-    fn open_waits(&self, time: u64) -> impl Iterator<Item = &Line> {
-        let mut newest: BTreeMap<&str, &Line> = BTreeMap::new();
-        let told = self.lines.iter().filter(|line| is_wait(line));
-        for line in told.filter(|line| line.time <= time) {
-            let known = newest.entry(text(line, "node")).or_insert(line);
-            if known.time <= line.time {
-                *known = line;
+    /// Returns, per store, the last unresolved `ListWaits` event at `time`, of any age: a
+    /// store logs what its group waits for only when that changes.
+    fn unresolved_waits(&self, time: u64) -> impl Iterator<Item = &LogLine> {
+        let mut latest_reports: BTreeMap<&str, &LogLine> = BTreeMap::new();
+        let reports = self.lines.iter().filter(|line| is_wait_report(line));
+        for line in reports.filter(|line| line.time <= time) {
+            let latest = latest_reports
+                .entry(text_field(line, "node"))
+                .or_insert(line);
+            if latest.time <= line.time {
+                *latest = line;
             }
         }
-        let open = newest.into_values();
-        open.filter(|line| !text(line, "detail").starts_with(WAITS_FOR_NOTHING))
+        let reports = latest_reports.into_values();
+        reports.filter(|line| !text_field(line, "detail").starts_with(NO_WAIT_PREFIX))
     }
 }
 
-fn is_wait(line: &Line) -> bool {
-    number(line, "event") == u64::from(Event::ListWaits.number())
+fn is_wait_report(line: &LogLine) -> bool {
+    number_field(line, "event") == u64::from(Event::ListWaits.number())
 }
 
-fn near(line: &Line, end: &Line) -> bool {
-    let began = end.time.saturating_sub(number(end, "milliseconds"));
-    line.time + AROUND_MILLISECONDS >= began && line.time <= end.time + AROUND_MILLISECONDS
+fn is_near(line: &LogLine, request: &LogLine) -> bool {
+    let started = request
+        .time
+        .saturating_sub(number_field(request, "milliseconds"));
+    line.time + CONTEXT_WINDOW_MS >= started && line.time <= request.time + CONTEXT_WINDOW_MS
 }
 
-fn is_request(line: &Line) -> bool {
-    number(line, "event") == u64::from(Event::RequestEnded.number())
+fn is_request(line: &LogLine) -> bool {
+    number_field(line, "event") == u64::from(Event::RequestEnded.number())
 }
 
-fn text<'a>(line: &'a Line, field: &str) -> &'a str {
+fn text_field<'a>(line: &'a LogLine, field: &str) -> &'a str {
     line.fields
         .get(field)
         .and_then(Value::as_str)
         .unwrap_or_default()
 }
 
-fn number(line: &Line, field: &str) -> u64 {
+fn number_field(line: &LogLine, field: &str) -> u64 {
     line.fields
         .get(field)
         .and_then(Value::as_u64)
         .unwrap_or_default()
 }
 
-fn show(line: &Line) -> String {
-    let hidden = ["time", "node", "name", "level", "event", "ordinary"];
+fn format_line(line: &LogLine) -> String {
+    let hidden_fields = ["time", "node", "name", "level", "event", "ordinary"];
     let fields: Vec<String> = line
         .fields
         .iter()
-        .filter(|(name, _)| !hidden.contains(&name.as_str()))
+        .filter(|(name, _)| !hidden_fields.contains(&name.as_str()))
         .filter(|(_, value)| !value.as_str().is_some_and(str::is_empty))
         .map(|(name, value)| match value {
             Value::String(text) => format!("{name}={text}"),
@@ -185,15 +199,15 @@
     format!(
         "{} {} {} {}",
         line.time,
-        text(line, "node"),
-        text(line, "name"),
+        text_field(line, "node"),
+        text_field(line, "name"),
         fields.join(" ")
     )
 }
 
-/// What an outcome means, with the inputs that decided it.
-fn cause(line: &Line) -> String {
-    let meaning = match text(line, "outcome") {
+/// Describes the outcome of a request and the inputs that decided it.
+fn explain_outcome(line: &LogLine) -> String {
+    let meaning = match text_field(line, "outcome") {
         "answered" | "streamed" => "answered whole",
         "budget_spent" => "refused: others' tokens and this turn's most exceed the budget",
         "budget_not_reserved" => "not run: no quorum of stores kept its reservation in time",
@@ -226,17 +240,17 @@
     format!(
         "{}: status {} after {} ms: {meaning}. tenant [{}] limit [{}] attempts [{}] \
          ledger [{}] history [{}] routes version {} of {} ms ago, members version {}",
-        text(line, "request"),
-        number(line, "status"),
-        number(line, "milliseconds"),
-        text(line, "tenant"),
-        text(line, "limit"),
-        text(line, "attempts"),
-        text(line, "ledger"),
-        text(line, "history"),
-        number(line, "routes_version"),
-        number(line, "directory_age"),
-        number(line, "members_version"),
+        text_field(line, "request"),
+        number_field(line, "status"),
+        number_field(line, "milliseconds"),
+        text_field(line, "tenant"),
+        text_field(line, "limit"),
+        text_field(line, "attempts"),
+        text_field(line, "ledger"),
+        text_field(line, "history"),
+        number_field(line, "routes_version"),
+        number_field(line, "directory_age"),
+        number_field(line, "members_version"),
     )
 }
 
--- a/crates/stageyoke-observe/src/lib.rs
+++ b/crates/stageyoke-observe/src/lib.rs
@@ -1,5 +1,5 @@
-//! What a process tells of itself: structured lines on standard output, within
-//! a budget and without ever blocking, and metrics in Prometheus's text format.
+//! Observability of a process: structured log lines on standard output, rate limited and
+//! written without blocking, and metrics in the Prometheus text format.
 
 pub mod events;
 pub mod explain;
--- a/crates/stageyoke-observe/src/logger.rs
+++ b/crates/stageyoke-observe/src/logger.rs
@@ -1,4 +1,4 @@
-//! The form of a line: one JSON object, made by `env_logger`.
+//! Logger that writes each record as one JSON object per line, built on `env_logger`.
 
 use std::io::Write;
 use std::sync::{Mutex, OnceLock};
@@ -10,41 +10,41 @@
 use crate::rate_limit::{Importance, LogRateLimiter};
 use crate::writer::LineQueue;
 
-/// Field that marks the ordinary end of a request.
+/// Field that marks the summary of a successful request.
 pub const ORDINARY_FIELD: &str = "ordinary";
-const LEVEL_VARIABLE: &str = "STAGEYOKE_LOG";
+const LOG_LEVEL_VARIABLE: &str = "STAGEYOKE_LOG";
 
-static NODE: OnceLock<String> = OnceLock::new();
+static NODE_NAME: OnceLock<String> = OnceLock::new();
 
-/// Sets up lines on standard output for the process of this machine. The level
-/// can be set by `STAGEYOKE_LOG`.
+/// Installs a logger that writes to standard output and adds `node` to each line. The
+/// `STAGEYOKE_LOG` environment variable sets the level; the default is `info`.
 pub fn init_logger(node: &str) -> std::io::Result<()> {
-    let _ = NODE.set(node.to_owned());
+    let _ = NODE_NAME.set(node.to_owned());
     let queue = LineQueue::start(std::io::stdout())?;
-    let target = BudgetedTarget {
+    let output = RateLimitedOutput {
         queue,
-        budget: Mutex::default(),
+        rate_limiter: Mutex::default(),
         started: Instant::now(),
     };
-    let environment = env_logger::Env::new().filter_or(LEVEL_VARIABLE, "info");
-    let mut builder = env_logger::Builder::from_env(environment);
+    let log_level = env_logger::Env::new().filter_or(LOG_LEVEL_VARIABLE, "info");
+    let mut builder = env_logger::Builder::from_env(log_level);
     builder.format(|buffer, record| writeln!(buffer, "{}", to_json(record)));
-    builder.target(env_logger::Target::Pipe(Box::new(target)));
-    // A second set-up in one process keeps the first.
+    builder.target(env_logger::Target::Pipe(Box::new(output)));
+    // Fails if a logger is already installed, which then stays in use.
     let _ = builder.try_init();
     Ok(())
 }
 
-/// One line as JSON: time in ms since the epoch, node, level, name of the
-/// event, and its fields.
+/// Converts a record to JSON: time in milliseconds since the Unix epoch, node, level,
+/// event name, and the record's fields.
 pub fn to_json(record: &log::Record<'_>) -> Json {
-    let mut fields = Fields::default();
+    let mut fields = JsonFields::default();
     let _ = record.key_values().visit(&mut fields);
     let mut line = fields.0;
-    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
-    let milliseconds = since_epoch.unwrap_or_default().as_millis() as u64;
+    let unix_time = SystemTime::now().duration_since(UNIX_EPOCH);
+    let milliseconds = unix_time.unwrap_or_default().as_millis() as u64;
     line.insert("time".to_owned(), milliseconds.into());
-    if let Some(node) = NODE.get() {
+    if let Some(node) = NODE_NAME.get() {
         line.insert("node".to_owned(), node.as_str().into());
     }
     line.insert("level".to_owned(), record.level().as_str().into());
@@ -53,9 +53,9 @@
 }
 
 #[derive(Default)]
-struct Fields(Map<String, Json>);
+struct JsonFields(Map<String, Json>);
 
-impl<'kvs> VisitSource<'kvs> for Fields {
+impl<'kvs> VisitSource<'kvs> for JsonFields {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), log::kv::Error> {
         let value = match value.to_u64() {
             Some(number) => number.into(),
@@ -66,28 +66,28 @@
     }
 }
 
-/// Applies the budget to whole lines.
-struct BudgetedTarget {
+/// Log output that applies the rate limit to whole lines.
+struct RateLimitedOutput {
     queue: LineQueue,
-    budget: Mutex<LogRateLimiter>,
+    rate_limiter: Mutex<LogRateLimiter>,
     started: Instant,
 }
 
-impl Write for BudgetedTarget {
+impl Write for RateLimitedOutput {
     fn write(&mut self, line: &[u8]) -> std::io::Result<usize> {
         let importance = importance(line);
-        let Ok(mut budget) = self.budget.lock() else {
+        let Ok(mut rate_limiter) = self.rate_limiter.lock() else {
             return Ok(line.len());
         };
         let now = self.started.elapsed();
-        if budget.allow(now, line.len() as u64, importance) {
-            let left_out = budget.take_suppressed();
-            if left_out > 0 {
+        if rate_limiter.allow(now, line.len() as u64, importance) {
+            let suppressed = rate_limiter.take_suppressed();
+            if suppressed > 0 {
                 let dropped = self.queue.dropped();
-                let note = format!(
-                    "{{\"name\":\"LinesLeftOut\",\"left_out\":{left_out},\"dropped\":{dropped}}}\n"
+                let notice = format!(
+                    "{{\"name\":\"LinesLeftOut\",\"left_out\":{suppressed},\"dropped\":{dropped}}}\n"
                 );
-                self.queue.enqueue(note.into_bytes());
+                self.queue.enqueue(notice.into_bytes());
             }
             self.queue.enqueue(line.to_vec());
         }
--- a/crates/stageyoke-observe/src/metrics.rs
+++ b/crates/stageyoke-observe/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters, gauges and latency histograms of a process, and their listener.
+//! Prometheus metrics of a process and the HTTP listener that serves them.
 
 use std::collections::HashSet;
 use std::convert::Infallible;
@@ -18,110 +18,110 @@
 use stageyoke_types::Event;
 use tokio::net::TcpListener;
 
-/// Path of the metrics page.
+/// HTTP path of the metrics page.
 pub const METRICS_PATH: &str = "/metrics";
-/// Buckets of latency histograms, s.
+/// Upper bounds of latency histogram buckets, in seconds.
 const LATENCY_BUCKETS: &[f64] = &[
     0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0,
 ];
 
-/// Buckets of the time until a group of stores is whole again, s.
-const HEAL_BUCKETS: &[f64] = &[0.5, 1.0, 2.0, 3.0, 4.0, 5.0, 6.0, 8.0, 10.0, 20.0, 60.0];
+/// Upper bounds of the buckets for the recovery time of a store group, in seconds.
+const RECOVERY_BUCKETS: &[f64] = &[0.5, 1.0, 2.0, 3.0, 4.0, 5.0, 6.0, 8.0, 10.0, 20.0, 60.0];
 
-/// Every metric of one process.
+/// All metrics of a process.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     registry: Registry,
-    /// Requests that ended, by route and outcome.
+    /// Finished requests, by route and outcome.
     pub requests: IntCounterVec,
-    /// Time from a request's arrival to its end, s.
+    /// Seconds from a request's arrival to its end.
     pub request_seconds: Histogram,
-    /// Time from a request's arrival to the head of its answer, s.
+    /// Seconds from a request's arrival to the head of its response.
     pub head_seconds: Histogram,
-    /// Time until a reservation was kept, s.
+    /// Seconds to store a budget reservation on a quorum.
     pub reserve_seconds: Histogram,
-    /// Time until a finished turn was kept, s.
+    /// Seconds to store a finished turn on a quorum.
     pub commit_seconds: Histogram,
-    /// Time of one write and sync of a journal, s.
+    /// Seconds for one journal write and sync.
     pub sync_seconds: Histogram,
-    /// Numbered events.
+    /// Numbered events, by name.
     pub events: IntCounterVec,
     /// Calls to the key-value service, by outcome.
     pub service_calls: IntCounterVec,
-    /// Grants of requests, and their returns, that an owner of a limit did not hear of.
+    /// Quota grants and refunds that could not be reported to an owner of the quota.
     pub quota_unreported: IntCounter,
-    /// Requests of tenants that ended with a refusal or failure, by tenant and outcome.
+    /// Requests that ended with status 400 or above, by tenant and outcome.
     pub tenant_failures: IntCounterVec,
-    /// First turns that were turned away for want of room at engines.
+    /// First turns of programs rejected because the engines had no capacity.
     pub rejected_turns: IntCounter,
     /// Connections opened to replicas.
     pub connections_opened: IntCounter,
-    /// Requests and streams under way.
+    /// Requests and response streams in flight.
     pub in_flight: IntGauge,
-    /// Configuration in force.
+    /// Version of the configuration in use.
     pub routes_version: IntGauge,
-    /// Version of the store groups.
+    /// Version of the store member list.
     pub members_version: IntGauge,
-    /// Replicas that take work.
+    /// Replicas in the current directory view.
     pub replicas: IntGauge,
-    /// Records that a store holds.
+    /// Records that the store holds.
     pub records: IntGauge,
-    /// Whether a store holds everything that it ever acknowledged.
+    /// 1 if the store holds every record that it ever acknowledged, otherwise 0.
     pub store_complete: IntGauge,
-    /// Whether the store's group is settled and all its members are there.
+    /// 1 if the store's group has a settled member list and no member is missing.
     pub group_healthy: IntGauge,
-    /// Time from a store's first notice of a loss in its group until it is whole, s.
+    /// Seconds from the detection of a loss in the store's group to its full recovery.
     pub recovery_seconds: Histogram,
-    /// Age of the directory when a request was routed by it, s.
+    /// Age in seconds of the directory that a request was routed by.
     pub directory_age_seconds: Histogram,
-    /// Requests that were placed by a list of replicas beyond the bound on changes.
+    /// Requests placed with a replica list older than the configured bound.
     pub stale_list_requests: IntCounter,
-    /// Bytes of turns' inputs and outputs that a store keeps in memory.
+    /// Bytes of turn inputs and outputs that the store caches in memory.
     pub turn_bytes: IntGauge,
-    /// Entries of all ledgers that a store keeps in memory.
+    /// Ledger entries that the store retains in memory.
     pub ledger_entries: IntGauge,
-    /// Connections with peers that speak an older version of the messages.
+    /// Connections to peers that use an older protocol version.
     pub older_peers: IntGauge,
 }
 
-/// Routes that have a label of their own; the rest share one, since a long
-/// life meets more names than a page can hold.
+/// Number of routes with a label of their own, on a first-come basis. All others share
+/// one label, which bounds the size of the metrics page.
 pub const MAX_LABELLED_ROUTES: usize = 256;
-/// Tenants that have a label of their own, the first that are refused something; the
-/// rest share one. Each has a line for each outcome.
+/// Number of tenants with a label of their own, assigned at a tenant's first failed
+/// request. All others share one label.
 pub const MAX_LABELLED_TENANTS: usize = 64;
-const OTHERS: &str = "other";
+const OTHER_LABEL: &str = "other";
 
-/// Names that have a label of their own.
-type Labelled = OnceLock<Mutex<HashSet<String>>>;
+/// Set of the names that have a label of their own.
+type LabelledNames = OnceLock<Mutex<HashSet<String>>>;
 
-/// The label of a route.
+/// Returns the metric label of a route.
 pub fn route_label(route: &str) -> &str {
-    static SEEN: Labelled = OnceLock::new();
-    label(&SEEN, MAX_LABELLED_ROUTES, route)
+    static LABELLED: LabelledNames = OnceLock::new();
+    label(&LABELLED, MAX_LABELLED_ROUTES, route)
 }
 
-/// The label of a tenant.
+/// Returns the metric label of a tenant.
 pub fn tenant_label(tenant: &str) -> &str {
-    static SEEN: Labelled = OnceLock::new();
-    label(&SEEN, MAX_LABELLED_TENANTS, tenant)
+    static LABELLED: LabelledNames = OnceLock::new();
+    label(&LABELLED, MAX_LABELLED_TENANTS, tenant)
 }
 
-fn label<'a>(seen: &Labelled, most: usize, name: &'a str) -> &'a str {
-    let Ok(mut seen) = seen.get_or_init(Mutex::default).lock() else {
-        return OTHERS;
+fn label<'a>(labelled: &LabelledNames, max_labels: usize, name: &'a str) -> &'a str {
+    let Ok(mut labelled) = labelled.get_or_init(Mutex::default).lock() else {
+        return OTHER_LABEL;
     };
-    if seen.contains(name) {
+    if labelled.contains(name) {
         return name;
     }
-    if seen.len() >= most {
-        return OTHERS;
+    if labelled.len() >= max_labels {
+        return OTHER_LABEL;
     }
-    seen.insert(name.to_owned());
+    labelled.insert(name.to_owned());
     name
 }
 
-/// The metrics of this process.
+/// Returns the metrics of this process, created on first use.
 pub fn metrics() -> &'static Metrics {
     static METRICS: OnceLock<Metrics> = OnceLock::new();
     METRICS.get_or_init(Metrics::new)
@@ -130,7 +130,7 @@
 impl Metrics {
     fn new() -> Self {
         let registry = Registry::new();
-        let counters = |name: &str, help: &str, labels: &[&str]| {
+        let counter_vec = |name: &str, help: &str, labels: &[&str]| {
             register(&registry, IntCounterVec::new(Opts::new(name, help), labels))
         };
         let gauge = |name: &str, help: &str| register(&registry, IntGauge::new(name, help));
@@ -138,23 +138,29 @@
             let options = HistogramOpts::new(name, help).buckets(buckets.to_vec());
             register(&registry, Histogram::with_opts(options))
         };
-        let seconds = |name: &str, help: &str| histogram(name, help, LATENCY_BUCKETS);
+        let latency_histogram = |name: &str, help: &str| histogram(name, help, LATENCY_BUCKETS);
         Self {
-            requests: counters(
+            requests: counter_vec(
                 "stageyoke_requests_total",
                 "Requests that ended, by route and outcome.",
                 &["route", "outcome"],
             ),
-            request_seconds: seconds("stageyoke_request_seconds", "Arrival to end."),
-            head_seconds: seconds("stageyoke_head_seconds", "Arrival to the answer's head."),
-            reserve_seconds: seconds("stageyoke_reserve_seconds", "Until a reservation is kept."),
-            commit_seconds: seconds("stageyoke_commit_seconds", "Until a turn is kept."),
-            sync_seconds: seconds(
+            request_seconds: latency_histogram("stageyoke_request_seconds", "Arrival to end."),
+            head_seconds: latency_histogram(
+                "stageyoke_head_seconds",
+                "Arrival to the answer's head.",
+            ),
+            reserve_seconds: latency_histogram(
+                "stageyoke_reserve_seconds",
+                "Until a reservation is kept.",
+            ),
+            commit_seconds: latency_histogram("stageyoke_commit_seconds", "Until a turn is kept."),
+            sync_seconds: latency_histogram(
                 "stageyoke_sync_seconds",
                 "One write and sync of the journal.",
             ),
-            events: counters("stageyoke_events_total", "Numbered events.", &["event"]),
-            service_calls: counters(
+            events: counter_vec("stageyoke_events_total", "Numbered events.", &["event"]),
+            service_calls: counter_vec(
                 "stageyoke_service_calls_total",
                 "Calls to the key-value service.",
                 &["outcome"],
@@ -173,7 +179,7 @@
                     "Requests placed by a list of replicas beyond the bound on changes.",
                 ),
             ),
-            tenant_failures: counters(
+            tenant_failures: counter_vec(
                 "stageyoke_tenant_failures_total",
                 "Requests of tenants that ended with status 400 or above.",
                 &["tenant", "outcome"],
@@ -208,9 +214,9 @@
             recovery_seconds: histogram(
                 "stageyoke_heal_seconds",
                 "Until a store's group is whole again.",
-                HEAL_BUCKETS,
+                RECOVERY_BUCKETS,
             ),
-            directory_age_seconds: seconds(
+            directory_age_seconds: latency_histogram(
                 "stageyoke_directory_age_seconds",
                 "Age of the directory when a request was routed by it.",
             ),
@@ -230,11 +236,11 @@
         }
     }
 
-    /// The page, as text.
+    /// Renders the metrics page in the Prometheus text format.
     pub fn render(&self) -> Vec<u8> {
-        let mut text = Vec::new();
-        let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
-        text
+        let mut page = Vec::new();
+        let _ = TextEncoder::new().encode(&self.registry.gather(), &mut page);
+        page
     }
 }
 
@@ -242,17 +248,17 @@
     registry: &Registry,
     metric: prometheus::Result<T>,
 ) -> T {
-    // Names and labels are constants: a failure is a programming error, which
-    // the test of the page shows.
-    let metric = metric.unwrap_or_else(|error| panic!("a metric is malformed: {error}"));
+    // Names and labels are constants, so a failure is a programming error, which the
+    // metrics page test detects.
+    let metric = metric.unwrap_or_else(|error| panic!("invalid metric definition: {error}"));
     if let Err(error) = registry.register(Box::new(metric.clone())) {
-        panic!("a metric is registered twice: {error}");
+        panic!("failed to register metric: {error}");
     }
     metric
 }
 
-/// Serves the page until the task is dropped, and tells in a line if it can't. Needs
-/// a local task set.
+/// Serves the metrics page until the future is dropped; logs an event if the listener
+/// fails. Must run inside a `LocalSet`.
 pub async fn serve(address: SocketAddr) {
     if let Err(error) = listen(address).await {
         crate::record_event(Event::MetricsUnavailable, &format!("{address}: {error}"));
@@ -265,7 +271,7 @@
         let (stream, _) = listener.accept().await?;
         tokio::task::spawn_local(async move {
             let service = service_fn(|request: Request<hyper::body::Incoming>| async move {
-                Ok::<_, Infallible>(answer(request.uri().path()))
+                Ok::<_, Infallible>(response_for(request.uri().path()))
             });
             let _ = hyper::server::conn::http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
@@ -274,7 +280,7 @@
     }
 }
 
-fn answer(path: &str) -> Response<Full<Bytes>> {
+fn response_for(path: &str) -> Response<Full<Bytes>> {
     if path == METRICS_PATH {
         return Response::new(Full::from(metrics().render()));
     }
--- a/crates/stageyoke-observe/src/rate_limit.rs
+++ b/crates/stageyoke-observe/src/rate_limit.rs
@@ -1,69 +1,70 @@
-//! How many lines and bytes a process may write. Pure.
+//! Limits the bytes of log output per second with a token bucket. Does no I/O and reads
+//! no clock.
 
 use std::time::Duration;
 
-/// Bytes a second that a process may write in the long run.
+/// Sustained log output limit, in bytes per second.
 pub const BYTES_PER_SECOND: u64 = 256 * 1024;
-/// Bytes that it may write at once.
+/// Capacity of the token bucket, in bytes.
 pub const BURST_BYTES: u64 = 512 * 1024;
-/// Ordinary lines leave this part of the burst to the others.
-const KEPT_FOR_FAILURES: u64 = BURST_BYTES / 2;
+/// Share of the bucket that ordinary lines may not use.
+const RESERVED_FOR_IMPORTANT_BYTES: u64 = BURST_BYTES / 2;
 
-/// Whether a line is one of many alike.
+/// Decides which lines are suppressed first when the limit is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Importance {
-    /// The ordinary end of a request: left out first.
+    /// The summary of a successful request.
     Ordinary,
-    /// A failure, or a change of what the process believes.
+    /// A failure or a state change.
     Important,
 }
 
-/// A bucket of bytes that fills with time.
+/// Token bucket over the bytes of log lines.
 #[derive(Clone, Debug)]
 pub struct LogRateLimiter {
-    left: u64,
-    filled_at: Duration,
-    left_out: u64,
+    available_bytes: u64,
+    refilled_at: Duration,
+    suppressed: u64,
 }
 
 impl Default for LogRateLimiter {
     fn default() -> Self {
         Self {
-            left: BURST_BYTES,
-            filled_at: Duration::ZERO,
-            left_out: 0,
+            available_bytes: BURST_BYTES,
+            refilled_at: Duration::ZERO,
+            suppressed: 0,
         }
     }
 }
 
 impl LogRateLimiter {
-    /// Whether a line of this size may be written now; `now` is a reading of a
-    /// steady clock. A line that may not is counted.
+    /// Returns whether a line of `bytes` may be written at `now`, a monotonic clock
+    /// reading. Counts the line as suppressed if not.
     pub fn allow(&mut self, now: Duration, bytes: u64, importance: Importance) -> bool {
-        self.fill(now);
+        self.refill(now);
         let reserve = match importance {
-            Importance::Ordinary => KEPT_FOR_FAILURES,
+            Importance::Ordinary => RESERVED_FOR_IMPORTANT_BYTES,
             Importance::Important => 0,
         };
-        if self.left < bytes + reserve {
-            self.left_out += 1;
+        if self.available_bytes < bytes + reserve {
+            self.suppressed += 1;
             return false;
         }
-        self.left -= bytes;
+        self.available_bytes -= bytes;
         true
     }
 
-    /// Lines left out since this was last asked.
+    /// Returns the number of lines suppressed since the last call.
     pub fn take_suppressed(&mut self) -> u64 {
-        std::mem::take(&mut self.left_out)
+        std::mem::take(&mut self.suppressed)
     }
 
-    fn fill(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.filled_at);
-        let gained = passed.as_micros() as u64 * BYTES_PER_SECOND / 1_000_000;
-        if gained > 0 {
-            self.left = (self.left + gained).min(BURST_BYTES);
-            self.filled_at = now;
+    fn refill(&mut self, now: Duration) {
+        let elapsed = now.saturating_sub(self.refilled_at);
+        let refilled_bytes = elapsed.as_micros() as u64 * BYTES_PER_SECOND / 1_000_000;
+        if refilled_bytes > 0 {
+            self.available_bytes = (self.available_bytes + refilled_bytes).min(BURST_BYTES);
+            self.refilled_at = now;
         }
     }
 }
--- a/crates/stageyoke-observe/src/signals.rs
+++ b/crates/stageyoke-observe/src/signals.rs
@@ -1,12 +1,12 @@
-//! Signals by which an operator speaks to a process.
+//! Handlers for the termination and hang-up signals.
 
 use stageyoke_types::Event;
 use tokio::signal::unix::{SignalKind, signal};
 
 use crate::events::record_event;
 
-/// Returns once the process is asked to stop; never where that can't be heard, and the
-/// log says so.
+/// Waits for SIGTERM. If the handler can't be installed, logs the error and never
+/// returns.
 pub async fn wait_for_terminate() {
     match signal(SignalKind::terminate()) {
         Ok(mut signal) => drop(signal.recv().await),
@@ -20,7 +20,7 @@
     }
 }
 
-/// Calls `reload` at each hang-up signal, which says that settings have changed.
+/// Calls `reload` for each SIGHUP.
 pub async fn run_on_hang_up(reload: impl Fn()) {
     match signal(SignalKind::hangup()) {
         Ok(mut signal) => {
--- a/crates/stageyoke-observe/tests/observe_test.rs
+++ b/crates/stageyoke-observe/tests/observe_test.rs
@@ -1,4 +1,4 @@
-//! Bounds of the log, and the metrics page.
+//! Rate limit, queue and format of the log, and the metrics page.
 
 use std::io::Write;
 use std::sync::mpsc::{Receiver, channel};
@@ -8,40 +8,40 @@
 use stageyoke_observe::rate_limit::{BURST_BYTES, BYTES_PER_SECOND, Importance, LogRateLimiter};
 use stageyoke_observe::writer::{LineQueue, MAX_QUEUED_LINES};
 
-const LINE: u64 = 300;
+const LINE_BYTES: u64 = 300;
 
 #[test]
-fn the_long_run_stays_within_the_bytes_a_second() {
-    let mut budget = LogRateLimiter::default();
-    let mut written = 0;
+fn sustained_output_stays_within_the_rate_limit() {
+    let mut rate_limiter = LogRateLimiter::default();
+    let mut written_bytes = 0;
     const SECONDS: u64 = 20;
     for tick in 0..SECONDS * 1_000 {
         let now = Duration::from_millis(tick);
         for _ in 0..5 {
-            if budget.allow(now, LINE, Importance::Important) {
-                written += LINE;
+            if rate_limiter.allow(now, LINE_BYTES, Importance::Important) {
+                written_bytes += LINE_BYTES;
             }
         }
     }
-    assert!(written <= BURST_BYTES + SECONDS * BYTES_PER_SECOND);
-    assert!(written >= SECONDS * BYTES_PER_SECOND * 9 / 10);
-    assert!(budget.take_suppressed() > 0);
+    assert!(written_bytes <= BURST_BYTES + SECONDS * BYTES_PER_SECOND);
+    assert!(written_bytes >= SECONDS * BYTES_PER_SECOND * 9 / 10);
+    assert!(rate_limiter.take_suppressed() > 0);
 }
 
 #[test]
-fn ordinary_lines_give_way_before_any_failure_does() {
-    let mut budget = LogRateLimiter::default();
-    let mut ordinary = 0;
-    while budget.allow(Duration::ZERO, LINE, Importance::Ordinary) {
-        ordinary += 1;
+fn ordinary_lines_are_suppressed_before_failures() {
+    let mut rate_limiter = LogRateLimiter::default();
+    let mut ordinary_lines = 0;
+    while rate_limiter.allow(Duration::ZERO, LINE_BYTES, Importance::Ordinary) {
+        ordinary_lines += 1;
     }
-    let mut failures = 0;
-    while budget.allow(Duration::ZERO, LINE, Importance::Important) {
-        failures += 1;
+    let mut important_lines = 0;
+    while rate_limiter.allow(Duration::ZERO, LINE_BYTES, Importance::Important) {
+        important_lines += 1;
     }
-    assert!(ordinary > 0);
-    assert!(failures >= BURST_BYTES / 2 / LINE);
-    assert_eq!(budget.take_suppressed(), 2);
+    assert!(ordinary_lines > 0);
+    assert!(important_lines >= BURST_BYTES / 2 / LINE_BYTES);
+    assert_eq!(rate_limiter.take_suppressed(), 2);
 }
 
 struct StalledReader(Receiver<()>);
@@ -57,21 +57,21 @@
 }
 
 #[test]
-fn a_stalled_reader_delays_nobody() {
+fn a_stalled_reader_does_not_block_writers() {
     let (release, stalled) = channel();
     let queue = LineQueue::start(StalledReader(stalled)).expect("thread");
     for _ in 0..4 * MAX_QUEUED_LINES {
         queue.enqueue(b"line\n".to_vec());
     }
-    // Reaching this point is the proof: nothing waits for the reader.
+    // The loop has ended although the reader has accepted nothing.
     assert!(queue.dropped() >= 2 * MAX_QUEUED_LINES as u64);
     drop(release);
 }
 
 #[test]
-fn a_line_is_one_object_with_its_fields() {
+fn a_record_becomes_one_json_object_with_its_fields() {
     let started = Instant::now();
-    let mut seen = None;
+    let mut json = None;
     let key_values: &[(&str, log::kv::Value)] = &[
         ("event", log::kv::Value::from(800_u16)),
         ("request", log::kv::Value::from("a \"b\"")),
@@ -81,8 +81,8 @@
         .args(format_args!("RequestEnded"))
         .key_values(&key_values)
         .build();
-    seen.replace(to_json(&record));
-    let line = seen.expect("line");
+    json.replace(to_json(&record));
+    let line = json.expect("line");
     assert_eq!(line["event"], 800);
     assert_eq!(line["request"], "a \"b\"");
     assert_eq!(line["name"], "RequestEnded");
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn the_page_names_every_metric_with_its_help() {
+fn the_metrics_page_shows_labels_buckets_and_help() {
     let metrics = stageyoke_observe::metrics();
     metrics
         .requests
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn routes_beyond_the_labelled_ones_share_a_label() {
+fn routes_beyond_the_label_limit_share_a_label() {
     use stageyoke_observe::metrics::{MAX_LABELLED_ROUTES, route_label};
     let names: Vec<String> = (0..4 * MAX_LABELLED_ROUTES)
         .map(|number| format!("r-{number}"))
@@ -112,11 +112,15 @@
     let labels: std::collections::HashSet<&str> =
         names.iter().map(|name| route_label(name)).collect();
     assert!(labels.len() <= MAX_LABELLED_ROUTES + 1);
-    assert_eq!(route_label(&names[0]), names[0], "the first keep theirs");
+    assert_eq!(
+        route_label(&names[0]),
+        names[0],
+        "the first names keep their own label"
+    );
 }
 
 #[test]
-fn tenants_beyond_the_labelled_ones_share_a_label() {
+fn tenants_beyond_the_label_limit_share_a_label() {
     use stageyoke_observe::metrics::{MAX_LABELLED_TENANTS, tenant_label};
     let names: Vec<String> = (0..4 * MAX_LABELLED_TENANTS)
         .map(|number| format!("t-{number}"))
@@ -124,5 +128,9 @@
     let labels: std::collections::HashSet<&str> =
         names.iter().map(|name| tenant_label(name)).collect();
     assert!(labels.len() <= MAX_LABELLED_TENANTS + 1);
-    assert_eq!(tenant_label(&names[0]), names[0], "the first keep theirs");
+    assert_eq!(
+        tenant_label(&names[0]),
+        names[0],
+        "the first names keep their own label"
+    );
 }
