--- a/crates/stageyoke-types/src/bounded.rs
+++ b/crates/stageyoke-types/src/bounded.rs
@@ -1,9 +1,9 @@
-//! Collection types whose decoders never trust a length read from the network.
+//! Collection types whose decoders do not trust lengths read from the network.
 //!
-//! `nanoserde` reserves memory for whatever length the bytes declare. These
-//! types grow only as elements are actually decoded, so that a hostile length
-//! ends in an error rather than in an allocation failure. Lengths are encoded
-//! in a variable number of bytes, seven bits each, to keep messages small.
+//! The `nanoserde` decoders allocate memory for whatever length the input declares. These
+//! types grow only as elements are decoded, so a forged length causes a decoding error
+//! instead of an allocation failure. Lengths are variable-length integers with seven bits
+//! per byte.
 
 use std::fmt;
 use std::ops::{Deref, DerefMut};
@@ -12,15 +12,15 @@
 use bytes::Bytes;
 use nanoserde::{DeBin, DeBinErr, DeBinErrReason, SerBin};
 
-const PAYLOAD_BITS: u32 = 7;
-const CONTINUATION: u8 = 0x80;
+const PAYLOAD_BITS_PER_BYTE: u32 = 7;
+const CONTINUATION_BIT: u8 = 0x80;
 const MAX_LENGTH_BYTES: u32 = 5;
 
-/// A list encoded with a compact length; at most `u32::MAX` elements.
+/// List encoded with a variable-length element count, of at most `u32::MAX`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct List<T>(pub Vec<T>);
 
-/// Immutable shared text; cloning it copies a pointer.
+/// Immutable, reference-counted text; cloning does not copy the content.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Text(Arc<str>);
 
@@ -84,7 +84,7 @@
 }
 
 impl Text {
-    /// The text as a string slice.
+    /// Returns the text as a string slice.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -133,13 +133,13 @@
     }
 }
 
-/// Immutable shared bytes, encoded as one copy; cloning it copies a pointer.
+/// Immutable, reference-counted bytes; cloning does not copy the content.
 #[derive(Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Blob(pub Bytes);
 
 impl Blob {
-    /// The same bytes in memory of their own: a slice keeps the whole of what it was
-    /// cut from, such as a connection's read buffer.
+    /// Copies the bytes into a separate allocation. A slice of a larger buffer, such as a
+    /// connection's read buffer, would otherwise keep the whole buffer in memory.
     pub fn detached(&self) -> Self {
         Self(Bytes::copy_from_slice(&self.0))
     }
@@ -180,10 +180,10 @@
 impl DeBin for Blob {
     fn de_bin(offset: &mut usize, bytes: &[u8]) -> Result<Self, DeBinErr> {
         let length = decode_length(offset, bytes)?;
-        let rest = bytes.get(*offset..).unwrap_or_default();
-        let content = rest
+        let remaining = bytes.get(*offset..).unwrap_or_default();
+        let content = remaining
             .get(..length)
-            .ok_or_else(|| too_short(*offset, length, rest.len()))?;
+            .ok_or_else(|| too_short(*offset, length, remaining.len()))?;
         *offset += length;
         Ok(Self(Bytes::copy_from_slice(content)))
     }
@@ -199,10 +199,10 @@
 impl DeBin for Text {
     fn de_bin(offset: &mut usize, bytes: &[u8]) -> Result<Self, DeBinErr> {
         let length = decode_length(offset, bytes)?;
-        let rest = bytes.get(*offset..).unwrap_or_default();
-        let content = rest
+        let remaining = bytes.get(*offset..).unwrap_or_default();
+        let content = remaining
             .get(..length)
-            .ok_or_else(|| too_short(*offset, length, rest.len()))?;
+            .ok_or_else(|| too_short(*offset, length, remaining.len()))?;
         let text = std::str::from_utf8(content).map_err(|_| malformed(*offset))?;
         *offset += length;
         Ok(Self::from(text))
@@ -210,12 +210,12 @@
 }
 
 fn encode_length(length: usize, output: &mut Vec<u8>) {
-    let mut rest = length as u64;
-    while rest >= u64::from(CONTINUATION) {
-        output.push(rest as u8 | CONTINUATION);
-        rest >>= PAYLOAD_BITS;
+    let mut remaining = length as u64;
+    while remaining >= u64::from(CONTINUATION_BIT) {
+        output.push(remaining as u8 | CONTINUATION_BIT);
+        remaining >>= PAYLOAD_BITS_PER_BYTE;
     }
-    output.push(rest as u8);
+    output.push(remaining as u8);
 }
 
 fn decode_length(offset: &mut usize, bytes: &[u8]) -> Result<usize, DeBinErr> {
@@ -223,8 +223,8 @@
     for position in 0..MAX_LENGTH_BYTES {
         let byte = *bytes.get(*offset).ok_or_else(|| too_short(*offset, 1, 0))?;
         *offset += 1;
-        length |= u64::from(byte & !CONTINUATION) << (position * PAYLOAD_BITS);
-        if byte & CONTINUATION == 0 {
+        length |= u64::from(byte & !CONTINUATION_BIT) << (position * PAYLOAD_BITS_PER_BYTE);
+        if byte & CONTINUATION_BIT == 0 {
             return Ok(length as usize);
         }
     }
--- a/crates/stageyoke-types/src/error.rs
+++ b/crates/stageyoke-types/src/error.rs
@@ -1,24 +1,24 @@
-//! The closed list of error kinds and the one table from a kind to its answer.
+//! Error kinds and the response for each of them.
 //!
-//! `docs/ERRORS.md` shows the same table; a test holds the two equal.
+//! `docs/ERRORS.md` contains the same table; a test compares the two.
 
 use std::fmt;
 
 use nanoserde::{DeBin, SerBin};
 
-/// Whether the work behind a refused or failed call ran.
+/// Whether the work of a rejected or failed call was run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, SerBin, DeBin)]
 pub enum RunState {
-    /// No back end was given the work, and none will be.
+    /// The work was not sent to a back end and will not be.
     NotRun,
-    /// A back end ran it.
+    /// A back end ran the work.
     Ran,
-    /// A back end may have run it; it will not be run again.
+    /// A back end may have run the work; it will not be run again.
     Unknown,
 }
 
 impl RunState {
-    /// The value of the `run_state` field in an error body.
+    /// Returns the value of the `run_state` field in an error body.
     pub fn name(self) -> &'static str {
         match self {
             RunState::NotRun => "not_run",
@@ -28,20 +28,21 @@
     }
 }
 
-/// What a caller should do about an error.
+/// Retry advice for the caller that receives an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryAdvice {
-    /// The same request will fail again.
+    /// The same request would fail again.
     Never,
-    /// A retry may succeed after this many seconds.
+    /// A retry may succeed after this number of seconds.
     After(u32),
-    /// Ask again with the same `Idempotency-Key` after this many seconds to
-    /// learn the outcome; never send the work under another key.
+    /// A retry with the same `Idempotency-Key` after this number of seconds returns the
+    /// outcome. A retry with another key could run the work twice.
     SameKey(u32),
 }
 
 impl RetryAdvice {
-    /// Seconds for the `Retry-After` header, if a retry may help.
+    /// Returns the value of the `Retry-After` header in seconds, or `None` if a retry can't
+    /// succeed.
     pub fn retry_after_seconds(self) -> Option<u32> {
         match self {
             RetryAdvice::Never => None,
@@ -62,17 +63,17 @@
 
 macro_rules! error_kinds {
     ($($(#[$doc:meta])* $kind:ident, $name:literal, $status:literal, $exit:literal, $retry:expr, $meaning:literal;)*) => {
-        /// Everything that can go wrong, as told to callers and operators.
+        /// Error kinds reported to callers and operators.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, SerBin, DeBin)]
         pub enum ErrorKind {
             $(#[doc = $meaning] $kind,)*
         }
 
         impl ErrorKind {
-            /// Every kind, in the order of the table.
+            /// All kinds, in table order.
             pub const ALL: &'static [ErrorKind] = &[$(ErrorKind::$kind),*];
 
-            /// The answer that belongs to this kind.
+            /// Returns the response for this kind.
             pub fn response(self) -> ErrorResponse {
                 match self {
                     $(ErrorKind::$kind => ErrorResponse {
@@ -85,18 +86,18 @@
     };
 }
 
-/// How one error kind is presented.
+/// Response to a caller or operator for one error kind.
 #[derive(Clone, Copy, Debug)]
 pub struct ErrorResponse {
     /// Value of the `kind` field in an error body.
     pub name: &'static str,
-    /// HTTP status towards callers.
+    /// HTTP status code.
     pub http_status: u16,
-    /// Exit code of the command line.
+    /// Exit code of the command-line tool.
     pub exit_code: i32,
-    /// Advice on trying again.
+    /// Retry advice.
     pub retry: RetryAdvice,
-    /// One sentence for people.
+    /// Human-readable description in one sentence.
     pub meaning: &'static str,
 }
 
@@ -128,7 +129,7 @@
 }
 
 impl ErrorKind {
-    /// The kind as it appears in error bodies and logs.
+    /// Returns the name of the kind in error bodies and logs.
     pub fn name(self) -> &'static str {
         self.response().name
     }
--- a/crates/stageyoke-types/src/event.rs
+++ b/crates/stageyoke-types/src/event.rs
@@ -1,31 +1,31 @@
-//! The catalogue of numbered log events.
+//! Numbered log events.
 //!
-//! `docs/EVENTS.md` shows the same table; a test holds the two equal. Numbers
-//! are never reused. No event carries a secret or the text of a message.
+//! `docs/EVENTS.md` contains the same table; a test compares the two. Numbers are never
+//! reused. Events must not contain secrets or message texts.
 
 macro_rules! events {
     ($($event:ident, $number:literal, $level:literal, $meaning:literal;)*) => {
-        /// A numbered event, logged with key-value fields.
+        /// Numbered event, logged with key-value fields.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         pub enum Event {
             $(#[doc = $meaning] $event,)*
         }
 
         impl Event {
-            /// Every event, in the order of its number.
+            /// All events, in table order.
             pub const ALL: &'static [Event] = &[$(Event::$event),*];
 
-            /// The number under which the event is logged.
+            /// Returns the number in the `event` field of the log line.
             pub fn number(self) -> u16 {
                 match self { $(Event::$event => $number,)* }
             }
 
-            /// Severity: `error`, `warn`, `info` or `debug`.
+            /// Returns the log level: `error`, `warn`, `info` or `debug`.
             pub fn level(self) -> &'static str {
                 match self { $(Event::$event => $level,)* }
             }
 
-            /// One sentence for the operator.
+            /// Returns a one-sentence description for operators.
             pub fn meaning(self) -> &'static str {
                 match self { $(Event::$event => $meaning,)* }
             }
--- a/crates/stageyoke-types/src/identifiers.rs
+++ b/crates/stageyoke-types/src/identifiers.rs
@@ -1,5 +1,5 @@
-//! Typed identifiers. Each is a distinct type so that one can never be passed
-//! where another is expected.
+//! Identifier types. Each kind of identifier is a distinct type, so the compiler rejects
+//! one used in place of another.
 
 use std::fmt;
 
@@ -7,14 +7,14 @@
 
 use crate::bounded::Text;
 
-/// Milliseconds on the clock of the node that took the reading. Readings of
-/// two nodes are never compared to decide anything that safety depends on.
+/// Clock reading of one node, in milliseconds. Safety never depends on a comparison of
+/// readings from different nodes.
 pub type Time = u64;
 
-/// Separates a sub-agent's own name from its parent's in a program identifier.
+/// Separates the names of a parent program and its sub-agent in a program identifier.
 pub const PROGRAM_PATH_SEPARATOR: char = '/';
 
-macro_rules! encode_as_inner {
+macro_rules! impl_inner_encoding {
     ($name:ident, $inner:ident) => {
         impl SerBin for $name {
             fn ser_bin(&self, output: &mut Vec<u8>) {
@@ -36,7 +36,7 @@
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $name(pub $inner);
 
-        encode_as_inner!($name, $inner);
+        impl_inner_encoding!($name, $inner);
 
         impl fmt::Display for $name {
             fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -52,7 +52,7 @@
         #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $name(pub Text);
 
-        encode_as_inner!($name, Text);
+        impl_inner_encoding!($name, Text);
 
         impl From<&str> for $name {
             fn from(text: &str) -> Self {
@@ -69,72 +69,73 @@
 }
 
 number_identifier!(
-    /// One life of one node. A node that restarts without its disk takes a new
-    /// identifier, because it has forgotten the votes it gave under the old one.
+    /// Identifier of a node. A node that loses its disk takes a new identifier, because
+    /// it no longer knows the votes that it cast under the old one.
     NodeId, u64
 );
 number_identifier!(
-    /// One of the fixed number of groups that programs are hashed onto.
+    /// Identifier of a shard. Programs are hashed onto a fixed number of shards.
     ShardId, u32
 );
 number_identifier!(
-    /// Leadership epoch of a shard's replica group; only ever grows.
+    /// Leadership term of a shard's replica group; increases monotonically.
     Term, u64
 );
 number_identifier!(
-    /// Position of a call within its program, from 1.
+    /// Position of a call in its program, starting at 1.
     CallNumber, u32
 );
 number_identifier!(
-    /// Try of one call, from 1; a later attempt fences every earlier one.
+    /// Number of an attempt of one call, starting at 1. An attempt fences all earlier ones.
     Attempt, u32
 );
 number_identifier!(
-    /// A request a gateway is waiting on; unique within that gateway's life.
+    /// Identifier of a request that a gateway waits for; unique within one incarnation of
+    /// the gateway.
     RequestId, u64
 );
 number_identifier!(
-    /// Version of the configuration; only ever grows.
+    /// Version of the configuration; increases monotonically.
     ConfigVersion, u64
 );
 text_identifier!(
-    /// A tenant, as named in the configuration.
+    /// Name of a tenant in the configuration.
     TenantId
 );
 text_identifier!(
-    /// A program's full path: `root`, or `root/child` for a sub-agent.
+    /// Full path of a program: `root`, or `root/child` for a sub-agent.
     ProgramId
 );
 text_identifier!(
-    /// A back end, as named in the configuration.
+    /// Name of a back end in the configuration.
     EngineId
 );
 text_identifier!(
-    /// The caller's key for a call that must not run twice.
+    /// Key chosen by the caller for a call that must not run twice.
     IdempotencyKey
 );
 
-/// Bits of a request number that count within one life.
-const REQUEST_COUNT_BITS: u32 = 48;
+/// Low bits of a request identifier that count requests within one incarnation.
+const REQUEST_COUNTER_BITS: u32 = 48;
 
 impl RequestId {
-    /// The `count`th request of one life of a node. A node that restarts with
-    /// its disk keeps its identifier but none of its callers' connections, so
-    /// requests name the life they belong to.
-    pub fn from_incarnation(life: u16, count: u64) -> Self {
-        let count = count & ((1 << REQUEST_COUNT_BITS) - 1);
-        Self(u64::from(life) << REQUEST_COUNT_BITS | count)
+    /// Creates the identifier of the request numbered `count` in one incarnation of a node.
+    /// A restarted node keeps its node identifier but loses its callers' connections, so
+    /// request identifiers include the incarnation.
+    pub fn from_incarnation(incarnation: u16, count: u64) -> Self {
+        let count = count & ((1 << REQUEST_COUNTER_BITS) - 1);
+        Self(u64::from(incarnation) << REQUEST_COUNTER_BITS | count)
     }
 
-    /// The life of the node that made the request.
+    /// Returns the incarnation of the node that created the request.
     pub fn incarnation(self) -> u16 {
-        (self.0 >> REQUEST_COUNT_BITS) as u16
+        (self.0 >> REQUEST_COUNTER_BITS) as u16
     }
 }
 
 impl ProgramId {
-    /// The root of the tree this program belongs to. A whole tree lives in the
-    /// root's shard, so that its ledgers are checked together.
+    /// Returns the root of this program's tree. All programs of a tree belong to the root's
+    /// shard, so their ledgers can be checked together.
     pub fn root(&self) -> &str {
         self.0
             .split(PROGRAM_PATH_SEPARATOR)
@@ -142,29 +143,30 @@
             .unwrap_or(self.0.as_str())
     }
 
-    /// The program that started this one, if it is a sub-agent.
+    /// Returns the program that started this one, or `None` for a root program.
     pub fn parent(&self) -> Option<ProgramId> {
         let (parent, _) = self.0.rsplit_once(PROGRAM_PATH_SEPARATOR)?;
         Some(ProgramId::from(parent))
     }
 
-    /// Number of ancestors: 0 for a root.
+    /// Returns the number of ancestors; 0 for a root program.
     pub fn depth(&self) -> u32 {
         self.0.matches(PROGRAM_PATH_SEPARATOR).count() as u32
     }
 }
 
-/// A program within its tenant. Two tenants may use the same identifier.
+/// Program identifier qualified by its tenant. Different tenants may use the same program
+/// identifier.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct ProgramKey {
-    /// Owner.
+    /// Tenant that owns the program.
     pub tenant: TenantId,
-    /// Identifier, unique within the owner.
+    /// Program identifier, unique within the tenant.
     pub program: ProgramId,
 }
 
 impl ProgramKey {
-    /// The key of the program that started this one, if it is a sub-agent.
+    /// Returns the key of the program that started this one, or `None` for a root program.
     pub fn parent(&self) -> Option<ProgramKey> {
         Some(ProgramKey {
             tenant: self.tenant.clone(),
@@ -172,7 +174,7 @@
         })
     }
 
-    /// The shard this program's tree belongs to, of `shard_count` in all.
+    /// Returns the shard of this program's tree, out of `shard_count` shards.
     pub fn shard(&self, shard_count: u32) -> ShardId {
         let mut hasher = blake3::Hasher::new();
         hasher.update(self.tenant.0.as_bytes());
--- a/crates/stageyoke-types/src/lib.rs
+++ b/crates/stageyoke-types/src/lib.rs
@@ -1,6 +1,5 @@
-//! Vocabulary shared by every crate: identifiers, the closed list of error
-//! kinds, the catalogue of numbered events, hashes, and the bounded collection types
-//! that are safe to decode from a peer's bytes.
+//! Types shared by all crates: identifiers, error kinds, numbered log events, hashes, and
+//! collection types that are safe to decode from untrusted bytes.
 
 pub mod bounded;
 pub mod error;
--- a/crates/stageyoke-types/src/text_position.rs
+++ b/crates/stageyoke-types/src/text_position.rs
@@ -1,10 +1,10 @@
-//! Places in texts, for errors that show them.
+//! Conversion of line and column numbers to byte offsets, for error reports.
 
-/// The byte at which a line and column (both from 1 on, the column in bytes) stand; the
-/// text's end where it is shorter.
+/// Returns the byte offset of a line and column, both counted from 1 and the column in
+/// bytes. A position beyond the end of the text maps to its end.
 pub fn text_offset(text: &str, line: usize, column: usize) -> usize {
     let lines = text.split_inclusive('\n');
-    let before = lines.take(line.saturating_sub(1));
-    let line_start: usize = before.map(str::len).sum();
+    let preceding_lines = lines.take(line.saturating_sub(1));
+    let line_start: usize = preceding_lines.map(str::len).sum();
     (line_start + column.saturating_sub(1)).min(text.len())
 }
--- a/crates/stageyoke-types/tests/bounded_test.rs
+++ b/crates/stageyoke-types/tests/bounded_test.rs
@@ -1,4 +1,4 @@
-//! Decoders of bounded types: round trips, and no panic on hostile bytes.
+//! Decoding of bounded types: round trips, and errors instead of panics on forged input.
 
 use nanoserde::{DeBin, SerBin};
 use proptest::prelude::*;
@@ -11,7 +11,7 @@
     fn list_of_text_round_trips(items in proptest::collection::vec(".{0,200}", 0..50)) {
         let list: List<Text> = items.iter().map(|item| Text::from(item.as_str())).collect();
         let decoded = List::<Text>::deserialize_bin(&list.serialize_bin());
-        prop_assert_eq!(decoded.expect("own encoding decodes"), list);
+        prop_assert_eq!(decoded.expect("decodes its own encoding"), list);
     }
 
     #[test]
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn hostile_length_is_an_error() {
+fn a_length_beyond_the_input_is_an_error() {
     let bytes = [0xff, 0xff, 0xff, 0xff, 0x0f];
     assert!(List::<u64>::deserialize_bin(&bytes).is_err());
     assert!(Text::deserialize_bin(&bytes).is_err());
--- a/crates/stageyoke-types/tests/catalogue_test.rs
+++ b/crates/stageyoke-types/tests/catalogue_test.rs
@@ -1,4 +1,4 @@
-//! The error table and the event catalogue equal the pages that show them.
+//! The documentation pages of errors and events match the tables in the code.
 
 use std::collections::HashSet;
 
@@ -14,14 +14,18 @@
 }
 
 #[test]
-fn errors_page_equals_the_table() {
+fn the_errors_page_matches_the_error_kinds() {
     let expected: Vec<String> = ErrorKind::ALL
         .iter()
         .map(|kind| {
-            let answer = kind.response();
+            let response = kind.response();
             format!(
                 "| `{}` | {} | {} | {} | {} |",
-                answer.name, answer.http_status, answer.exit_code, answer.retry, answer.meaning
+                response.name,
+                response.http_status,
+                response.exit_code,
+                response.retry,
+                response.meaning
             )
         })
         .collect();
@@ -29,7 +33,7 @@
 }
 
 #[test]
-fn events_page_equals_the_catalogue() {
+fn the_events_page_matches_the_events() {
     let expected: Vec<String> = Event::ALL
         .iter()
         .map(|event| {
@@ -48,12 +52,12 @@
 #[test]
 fn names_exit_codes_and_event_numbers_are_unique() {
     let names: HashSet<_> = ErrorKind::ALL.iter().map(|kind| kind.name()).collect();
-    let exits: HashSet<_> = ErrorKind::ALL
+    let exit_codes: HashSet<_> = ErrorKind::ALL
         .iter()
         .map(|kind| kind.response().exit_code)
         .collect();
     let numbers: HashSet<_> = Event::ALL.iter().map(|event| event.number()).collect();
     assert_eq!(names.len(), ErrorKind::ALL.len());
-    assert_eq!(exits.len(), ErrorKind::ALL.len());
+    assert_eq!(exit_codes.len(), ErrorKind::ALL.len());
     assert_eq!(numbers.len(), Event::ALL.len());
 }
--- a/crates/stageyoke-types/tests/text_position_test.rs
+++ b/crates/stageyoke-types/tests/text_position_test.rs
@@ -1,4 +1,4 @@
-//! Where an error stands in a text.
+//! Byte offsets of line and column numbers.
 
 use rstest::rstest;
 use stageyoke_types::text_offset;
@@ -9,6 +9,10 @@
 #[case(2, 2, 4)]
 #[case(9, 9, 5)]
 #[case(0, 0, 0)]
-fn a_line_and_column_name_a_byte(#[case] line: usize, #[case] column: usize, #[case] at: usize) {
-    assert_eq!(text_offset("ab\ncd", line, column), at);
+fn a_line_and_column_map_to_a_byte_offset(
+    #[case] line: usize,
+    #[case] column: usize,
+    #[case] offset: usize,
+) {
+    assert_eq!(text_offset("ab\ncd", line, column), offset);
 }
