--- a/crates/stageyoke-http/src/durations.rs
+++ b/crates/stageyoke-http/src/durations.rs
@@ -1,19 +1,20 @@
-//! Durations that a message gives as a number of seconds or milliseconds.
+//! Deserializers for durations given as a number of seconds or milliseconds.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Deserializer};
 
-const MILLISECONDS: f64 = 1000.0;
+const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
-/// Reads a number of seconds; negative ones and those too large are errors.
+/// Deserializes a number of seconds; rejects negative and too large values.
 pub fn seconds<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Duration, D::Error> {
     let seconds = f64::deserialize(deserializer)?;
     Duration::try_from_secs_f64(seconds).map_err(serde::de::Error::custom)
 }
 
-/// Reads a number of milliseconds; negative ones and those too large are errors.
+/// Deserializes a number of milliseconds; rejects negative and too large values.
 pub fn milliseconds<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Duration, D::Error> {
     let milliseconds = f64::deserialize(deserializer)?;
-    Duration::try_from_secs_f64(milliseconds / MILLISECONDS).map_err(serde::de::Error::custom)
+    Duration::try_from_secs_f64(milliseconds / MILLISECONDS_PER_SECOND)
+        .map_err(serde::de::Error::custom)
 }
--- a/crates/stageyoke-http/src/json_file.rs
+++ b/crates/stageyoke-http/src/json_file.rs
@@ -1,4 +1,4 @@
-//! Files in JSON, whose errors show their place.
+//! Loading of JSON files, with errors that point to the location in the file.
 
 use std::path::{Path, PathBuf};
 
@@ -6,40 +6,40 @@
 use serde::de::DeserializeOwned;
 use stageyoke_types::text_offset;
 
-/// Why a file could not be used.
+/// Error returned when a file can't be loaded.
 #[derive(Debug, Diagnostic, thiserror::Error)]
 pub enum JsonFileError {
-    /// The file cannot be read.
+    /// Reading the file failed.
     #[error("{}: {_1}", _0.display())]
     Unreadable(PathBuf, std::io::Error),
-    /// The file's content is wrong at a place.
-    #[error("the settings are wrong: {reason}")]
+    /// The content is not valid JSON or does not match the expected type.
+    #[error("invalid settings: {reason}")]
     Invalid {
-        /// The file.
+        /// Name and content of the file.
         #[source_code]
         file: NamedSource<String>,
-        /// The place.
+        /// Location of the error in the content.
         #[label("{reason}")]
         location: SourceSpan,
-        /// What is wrong there.
+        /// Description of the error.
         reason: String,
     },
 }
 
-/// Reads a file.
+/// Reads and parses a file.
 pub fn load<T: DeserializeOwned>(path: &Path) -> Result<T, JsonFileError> {
     let text = std::fs::read_to_string(path)
         .map_err(|error| JsonFileError::Unreadable(path.to_owned(), error))?;
     parse(path, &text)
 }
 
-/// Reads the content of the file at this path.
+/// Parses `text`; errors name `path` as its source.
 pub fn parse<T: DeserializeOwned>(path: &Path, text: &str) -> Result<T, JsonFileError> {
     serde_json::from_str(text).map_err(|error| {
-        let place = text_offset(text, error.line(), error.column());
+        let offset = text_offset(text, error.line(), error.column());
         JsonFileError::Invalid {
             file: NamedSource::new(path.display().to_string(), text.to_owned()),
-            location: place.into(),
+            location: offset.into(),
             reason: error.to_string(),
         }
     })
--- a/crates/stageyoke-http/src/lenient_list.rs
+++ b/crates/stageyoke-http/src/lenient_list.rs
@@ -1,22 +1,22 @@
-//! Lists of which one element that can't be read spoils no other.
+//! List deserialization that skips invalid elements.
 
 use serde::de::IgnoredAny;
 use serde::{Deserialize, Deserializer};
 
-/// The elements that could be read, in their order.
+/// List that skips elements that don't match the element type.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LenientList<T> {
-    /// Those elements.
+    /// Valid elements, in their original order.
     pub items: Vec<T>,
-    /// How many others there were.
+    /// Number of skipped elements.
     pub skipped: usize,
 }
 
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum Element<T> {
-    Read(T),
-    Other(IgnoredAny),
+    Valid(T),
+    Invalid(IgnoredAny),
 }
 
 impl<'de, T: Deserialize<'de>> Deserialize<'de> for LenientList<T> {
@@ -24,8 +24,8 @@
         let elements = Vec::<Element<T>>::deserialize(deserializer)?;
         let all = elements.len();
         let items = elements.into_iter().filter_map(|element| match element {
-            Element::Read(element) => Some(element),
-            Element::Other(_) => None,
+            Element::Valid(element) => Some(element),
+            Element::Invalid(_) => None,
         });
         let items: Vec<T> = items.collect();
         let skipped = all - items.len();
--- a/crates/stageyoke-http/src/lib.rs
+++ b/crates/stageyoke-http/src/lib.rs
@@ -1,6 +1,5 @@
-//! Short HTTP calls to one service. Connections are kept between calls, and none
-//! of them is trusted any more once a call got no answer: what silenced one may
-//! have silenced all.
+//! HTTP client for short calls to one service, with pooled connections. A call without a
+//! response closes all idle connections, because they may have failed with it.
 
 pub mod durations;
 pub mod json_file;
@@ -23,12 +22,12 @@
 
 pub use lenient_list::LenientList;
 
-/// Why a call has no answer.
+/// Error returned when a call gets no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// The call can't be put into a request; nothing was sent.
+    /// The request could not be built; nothing was sent.
     Malformed,
-    /// The connection failed or the time ran out: it may have been done.
+    /// The connection failed or the call timed out. The service may have processed the call.
     NoAnswer,
 }
 
@@ -43,16 +42,16 @@
 
 impl std::error::Error for CallError {}
 
-/// What was answered.
+/// Response to a call.
 #[derive(Clone, Debug)]
 pub struct HttpResponse {
-    /// Status.
+    /// HTTP status code.
     pub status: StatusCode,
-    /// The whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// A service at one address. Needs a local task set.
+/// Client of the service at one address. Must be used inside a `LocalSet`.
 #[derive(Debug)]
 pub struct HttpClient {
     address: SocketAddr,
@@ -71,17 +70,17 @@
     }
 }
 
-/// Ends the resting connections when a call gets no answer or is given up.
-struct Doubt<'a>(&'a RefCell<Vec<Connection>>);
+/// Closes all idle connections if a call fails or is cancelled.
+struct CloseIdleOnDrop<'a>(&'a RefCell<Vec<Connection>>);
 
-impl Drop for Doubt<'_> {
+impl Drop for CloseIdleOnDrop<'_> {
     fn drop(&mut self) {
         self.0.borrow_mut().clear();
     }
 }
 
 impl HttpClient {
-    /// The service at this address.
+    /// Creates a client of the service at `address`. Connections are opened on demand.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -89,22 +88,23 @@
         }
     }
 
-    /// Makes a call with a JSON body, which may be empty.
+    /// Sends a request with a JSON body, which may be empty, and waits at most
+    /// `call_timeout` for the complete response.
     pub async fn call(
         &self,
         method: Method,
         path: &str,
         body: Bytes,
-        within: Duration,
+        call_timeout: Duration,
     ) -> Result<HttpResponse, CallError> {
-        let calling = self.exchange(method, path, body);
-        let answered = tokio::time::timeout(within, calling).await;
-        answered.map_err(no_answer)?
+        let exchange = self.exchange(method, path, body);
+        let response = tokio::time::timeout(call_timeout, exchange).await;
+        response.map_err(no_answer)?
     }
 
-    async fn connect(&self) -> Result<Connection, CallError> {
-        let kept = self.idle.borrow_mut().pop();
-        if let Some(connection) = kept.filter(|connection| connection.sender.is_ready()) {
+    async fn acquire_connection(&self) -> Result<Connection, CallError> {
+        let idle = self.idle.borrow_mut().pop();
+        if let Some(connection) = idle.filter(|connection| connection.sender.is_ready()) {
             return Ok(connection);
         }
         let stream = TcpStream::connect(self.address).await.map_err(no_answer)?;
@@ -124,8 +124,8 @@
         path: &str,
         body: Bytes,
     ) -> Result<HttpResponse, CallError> {
-        let mut connection = self.connect().await?;
-        let doubt = Doubt(&self.idle);
+        let mut connection = self.acquire_connection().await?;
+        let close_on_failure = CloseIdleOnDrop(&self.idle);
         let request = Request::builder()
             .method(method)
             .uri(path)
@@ -138,18 +138,18 @@
         let status = response.status();
         let body = response.into_body().collect().await;
         let body = body.map_err(no_answer)?.to_bytes();
-        std::mem::forget(doubt);
+        std::mem::forget(close_on_failure);
         self.idle.borrow_mut().push(connection);
         Ok(HttpResponse { status, body })
     }
 }
 
-/// Whatever went wrong, the call may have been done.
+/// Maps any connection error to `NoAnswer`, because the service may have processed the call.
 fn no_answer<E>(_: E) -> CallError {
     CallError::NoAnswer
 }
 
-/// Escapes what has a meaning in a query.
+/// Percent-encodes text for use in a query string.
 pub fn percent_encode(text: &str) -> PercentEncode<'_> {
     utf8_percent_encode(text, NON_ALPHANUMERIC)
 }
