--- a/crates/stageyoke-directory/src/groups.rs
+++ b/crates/stageyoke-directory/src/groups.rs
@@ -188,5 +188,5 @@
 
 /// Rank of a group for one spare; the lowest is preferred.
 fn spare_preference(node: &str, number: GroupNumber) -> u64 {
-    hash::of_bytes(node.bytes().chain(number.0.to_le_bytes()))
+    hash::fnv1a(node.bytes().chain(number.0.to_le_bytes()))
 }
--- a/crates/stageyoke-store/src/journal.rs
+++ b/crates/stageyoke-store/src/journal.rs
@@ -180,7 +180,7 @@
         };
         if let Err(error) = outcome {
             // The process still has the data in memory; it is only missing after a restart.
-            observe::event(Event::DiskRefuses, &format!("housekeeping error={error}"));
+            observe::record_event(Event::DiskRefuses, &format!("housekeeping error={error}"));
         }
     }
 
--- a/crates/stageyoke-store/src/local_store.rs
+++ b/crates/stageyoke-store/src/local_store.rs
@@ -345,7 +345,7 @@
             }
             let metrics = observe::metrics();
             metrics.records.set(self.journal_end().next as i64);
-            metrics.complete.set(i64::from(self.is_complete()));
+            metrics.store_complete.set(i64::from(self.is_complete()));
             let state = self.state.borrow();
             metrics.turn_bytes.set(state.cached_turn_bytes() as i64);
             let entries = state.ledger_entry_count();
@@ -359,8 +359,10 @@
             return;
         }
         match rejects_writes {
-            true => observe::event(Event::DiskRefuses, &format!("ticket={}", result.ticket)),
-            false => observe::event(Event::DependencyRegained, "disk"),
+            true => {
+                observe::record_event(Event::DiskRefuses, &format!("ticket={}", result.ticket))
+            }
+            false => observe::record_event(Event::DependencyRegained, "disk"),
         }
     }
 
@@ -413,12 +415,12 @@
                 }
                 Ok(records) => {
                     let detail = format!("segment={} records={}", segment.number, records.len());
-                    observe::event(Event::SegmentUnreadable, &detail);
+                    observe::record_event(Event::SegmentUnreadable, &detail);
                     break;
                 }
                 Err(error) => {
                     let detail = format!("segment={} error={error}", segment.number);
-                    observe::event(Event::SegmentUnreadable, &detail);
+                    observe::record_event(Event::SegmentUnreadable, &detail);
                     break;
                 }
             }
--- a/crates/stageyoke-store/src/peer_version.rs
+++ b/crates/stageyoke-store/src/peer_version.rs
@@ -76,7 +76,7 @@
         connections.inc();
         if connections.get() == 1 {
             let detail = format!("peer={peer} version={version} own={VERSION}");
-            observe::event(Event::OlderPeer, &detail);
+            observe::record_event(Event::OlderPeer, &detail);
         }
         Self
     }
@@ -87,7 +87,7 @@
         let connections = &observe::metrics().older_peers;
         connections.dec();
         if connections.get() == 0 {
-            observe::event(Event::OlderPeersGone, &format!("own={VERSION}"));
+            observe::record_event(Event::OlderPeersGone, &format!("own={VERSION}"));
         }
     }
 }
--- a/crates/stageyoke-types/src/lib.rs
+++ b/crates/stageyoke-types/src/lib.rs
@@ -1,13 +1,12 @@
-//! Vocabulary shared by every crate: identifiers, the closed list of error
-//! kinds, the catalogue of numbered events, hashes, and the bounded collection types
-//! that are safe to decode from a peer's bytes.
+//! Types shared by all crates: identifiers, error kinds, numbered log events, hashes, and
+//! collection types that are safe to decode from untrusted bytes.
 
 pub mod bounded;
 pub mod error;
 pub mod event;
 pub mod hash;
 pub mod identifiers;
-mod place;
+mod text_position;
 
 pub use bounded::{Blob, List, Text};
 pub use error::{ErrorKind, RetryAdvice, RunState};
@@ -16,4 +15,4 @@
     Attempt, CallNumber, ConfigVersion, EngineId, IdempotencyKey, NodeId, ProgramId, ProgramKey,
     RequestId, ShardId, TenantId, Term, Time,
 };
-pub use place::text_offset;
+pub use text_position::text_offset;
