--- a/crates/stageyoke-store/src/local_store.rs
+++ b/crates/stageyoke-store/src/local_store.rs
@@ -359,9 +359,7 @@
             return;
         }
         match rejects_writes {
-            true => {
-                observe::record_event(Event::DiskRefuses, &format!("ticket={}", result.ticket))
-            }
+            true => observe::record_event(Event::DiskRefuses, &format!("ticket={}", result.ticket)),
             false => observe::record_event(Event::DependencyRegained, "disk"),
         }
     }
