--- a/crates/stageyoke-store/src/completeness.rs
+++ b/crates/stageyoke-store/src/completeness.rs
@@ -1,27 +1,26 @@
-//! What a disk's content may vouch for: that it holds everything that its store
-//! ever acknowledged as a member of a group.
+//! Records whether a disk still holds everything that its store has acknowledged as a member
+//! of a group.
 
 use stageyoke_directory::{GroupNumber, StoreGroups};
 
-/// For which group a disk is complete.
+/// Group for which a disk is complete.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Completeness {
-    /// It may lack something: it was lost, or has not been filled yet.
+    /// The disk may lack records: it was replaced or has not caught up yet.
     #[default]
     Incomplete,
-    /// It has been there since before the groups were formed, when nothing had
-    /// been kept by anybody: complete for the group that the store was formed
-    /// into, if it was.
+    /// The disk dates from before the groups were formed, when nothing had been stored: it is
+    /// complete for the group into which the store was formed, if any.
     SinceFormation,
-    /// For this group.
+    /// The disk is complete for this group.
     Of(GroupNumber),
 }
 
-const SINCE_FORMATION: &str = "since formation";
-const OF_GROUP: &str = "of group ";
+const SINCE_FORMATION_MARK: &str = "since formation";
+const OF_GROUP_MARK_PREFIX: &str = "of group ";
 
 impl Completeness {
-    /// Whether the disk of the store on this machine is complete for a group.
+    /// Checks whether the disk of the store on this machine is complete for a group.
     pub fn is_complete_for(self, group: GroupNumber, node: &str, stores: &StoreGroups) -> bool {
         match self {
             Self::Incomplete => false,
@@ -32,23 +31,23 @@
         }
     }
 
-    /// As it stands in the disk's mark; `None` where there is to be no mark.
+    /// Text of the disk's completeness marker; `None` if the disk has none.
     pub fn mark(self) -> Option<String> {
         match self {
             Self::Incomplete => None,
-            Self::SinceFormation => Some(SINCE_FORMATION.to_owned()),
-            Self::Of(GroupNumber(number)) => Some(format!("{OF_GROUP}{number}")),
+            Self::SinceFormation => Some(SINCE_FORMATION_MARK.to_owned()),
+            Self::Of(GroupNumber(number)) => Some(format!("{OF_GROUP_MARK_PREFIX}{number}")),
         }
     }
 
-    /// Reads a mark. One that can't be read vouches for nothing.
+    /// Parses a completeness marker. An unreadable marker counts as incomplete.
     pub fn from_mark(mark: &str) -> Self {
-        if mark == SINCE_FORMATION {
+        if mark == SINCE_FORMATION_MARK {
             return Self::SinceFormation;
         }
         let number = mark
-            .strip_prefix(OF_GROUP)
-            .and_then(|rest| rest.parse().ok());
+            .strip_prefix(OF_GROUP_MARK_PREFIX)
+            .and_then(|number| number.parse().ok());
         number.map_or(Self::Incomplete, |number| Self::Of(GroupNumber(number)))
     }
 }
--- a/crates/stageyoke-store/src/engine_latency.rs
+++ b/crates/stageyoke-store/src/engine_latency.rs
@@ -1,8 +1,8 @@
-//! How long engines take against the middle of all, by what all fronts see: some are
-//! faster than others by their build, and a front alone meets each too seldom to know.
+//! Latency of engines relative to the median, pooled over all fronts. Engines differ in speed
+//! by their hardware, and a single front uses each of them too rarely to measure it.
 //!
-//! Load that it answers: a burst in which fronts that know nothing of speeds give slow
-//! engines as much as fast ones, and those turns end late.
+//! Without it, fronts send slow engines as many turns as fast ones during a burst, and those
+//! turns end late.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -14,91 +14,97 @@
 
 use crate::extension::Deviation;
 use crate::message::LatencyEntry;
-use crate::replica_latency::{HUNDREDTHS, LatencyStats, UnreportedLatencies};
+use crate::replica_latency::{LOG_RATIO_SCALE, LatencyStats, UnreportedLatencies};
 
-/// A store tells a front of deviations so often at most: the list is some hundred bytes.
-const TELL_PAUSE: Duration = Duration::from_millis(1000);
-/// What was heard of deviations counts for this long: two tellings may be lost.
-const HEARD_LIFE: Duration = Duration::from_millis(2500);
-/// Bounds of one turn's ratio: a single outlier, as where a stream came in one piece,
-/// shall not rule.
+/// Minimum interval between two reports of deviations to a front; a report takes a few
+/// hundred bytes.
+const REPORT_INTERVAL: Duration = Duration::from_millis(1000);
+/// Time for which reported deviations are used; two reports may be lost.
+const DEVIATION_TTL: Duration = Duration::from_millis(2500);
+/// Range to which a turn's ratio is clamped, to limit the effect of outliers such as a stream
+/// that arrives in one piece.
 const RATIO_RANGE: (f64, f64) = (0.25, 8.0);
 
-/// What a front tells and has heard of engines.
+/// Engine latencies that a front reports and receives.
 #[derive(Debug, Default)]
 pub struct EngineTracker {
-    tells: Cell<bool>,
-    untold: UnreportedLatencies,
-    heard: RefCell<HashMap<u32, (f64, Instant)>>,
+    reports_enabled: Cell<bool>,
+    unreported: UnreportedLatencies,
+    received: RefCell<HashMap<u32, (f64, Instant)>>,
 }
 
 impl EngineTracker {
-    /// From now on other fronts are told how long engines take.
+    /// Starts to report engine latencies to stores.
     pub fn enable_reports(&self) {
-        self.tells.set(true);
+        self.reports_enabled.set(true);
     }
 
-    /// A turn at an engine took so many times as long as turns do.
+    /// Records the ratio of a turn's duration at an engine to the expected one.
     pub fn record_ratio(&self, replica: u32, ratio: f64) {
-        let (least, most) = RATIO_RANGE;
-        self.untold.record(replica, ratio.clamp(least, most));
+        let (lowest, highest) = RATIO_RANGE;
+        self.unreported
+            .record(replica, ratio.clamp(lowest, highest));
     }
 
-    /// What a group has not been told yet; none where nothing is told to others.
+    /// Returns the latencies that a group has not received yet, and clears them; `None` while
+    /// reports are disabled.
     pub fn take_unreported(&self, group: GroupNumber) -> Option<List<LatencyEntry>> {
-        self.tells.get().then(|| self.untold.take(group))
+        self.reports_enabled
+            .get()
+            .then(|| self.unreported.take(group))
     }
 
-    /// A store has told of these.
+    /// Applies a store's report on deviations.
     pub fn apply_report(&self, deviations: &[Deviation]) {
         let now = Instant::now();
-        let mut heard = self.heard.borrow_mut();
-        heard.retain(|_, (_, at)| now.duration_since(*at) < HEARD_LIFE);
+        let mut received = self.received.borrow_mut();
+        received.retain(|_, (_, at)| now.duration_since(*at) < DEVIATION_TTL);
         for deviation in deviations {
-            let times = (f64::from(deviation.log_ratio) / HUNDREDTHS).exp();
-            heard.insert(deviation.replica, (times, now));
+            let slowdown = (f64::from(deviation.log_ratio) / LOG_RATIO_SCALE).exp();
+            received.insert(deviation.replica, (slowdown, now));
         }
     }
 
-    /// How many times as long as the middle an engine takes; none where it is not known.
+    /// Slowdown of an engine relative to the median; `None` if unknown.
     pub fn slowdown(&self, replica: u32) -> Option<f64> {
-        let heard = self.heard.borrow();
-        let (times, at) = heard.get(&replica)?;
-        (at.elapsed() < HEARD_LIFE).then_some(*times)
+        let received = self.received.borrow();
+        let (slowdown, at) = received.get(&replica)?;
+        (at.elapsed() < DEVIATION_TTL).then_some(*slowdown)
     }
 }
 
-/// A store's collection of what fronts tell of engines.
+/// Engine latencies that a store has collected from fronts.
 #[derive(Debug)]
 pub struct EngineReports {
-    paces: RefCell<LatencyStats>,
-    told: RefCell<HashMap<u32, Instant>>,
+    latencies: RefCell<LatencyStats>,
+    reported_at: RefCell<HashMap<u32, Instant>>,
 }
 
 impl Default for EngineReports {
     fn default() -> Self {
         Self {
-            paces: RefCell::new(LatencyStats::for_engines()),
-            told: RefCell::default(),
+            latencies: RefCell::new(LatencyStats::for_engines()),
+            reported_at: RefCell::default(),
         }
     }
 }
 
 impl EngineReports {
-    /// Takes what a front tells.
-    pub fn add(&self, paces: &[LatencyEntry]) {
-        self.paces.borrow_mut().add(paces);
+    /// Adds the latencies that a front reports.
+    pub fn add(&self, latencies: &[LatencyEntry]) {
+        self.latencies.borrow_mut().add(latencies);
     }
 
-    /// How far engines lie from the middle; none where this front was told just now.
+    /// Deviations of engines from the median, to report to a front; `None` if the front
+    /// received a report within the report interval.
     pub fn deviations_for(&self, front: u32) -> Option<List<Deviation>> {
         let now = Instant::now();
-        let mut told = self.told.borrow_mut();
-        told.retain(|_, at| now.duration_since(*at) < TELL_PAUSE);
-        if told.contains_key(&front) {
+        let mut reported_at = self.reported_at.borrow_mut();
+        reported_at.retain(|_, at| now.duration_since(*at) < REPORT_INTERVAL);
+        if reported_at.contains_key(&front) {
             return None;
         }
-        told.insert(front, now);
-        Some(self.paces.borrow().deviations())
+        reported_at.insert(front, now);
+        Some(self.latencies.borrow().deviations())
     }
 }
--- a/crates/stageyoke-store/src/group_client.rs
+++ b/crates/stageyoke-store/src/group_client.rs
@@ -1,5 +1,5 @@
-//! A front's dealings with one store group: quorums of appends, ledgers merged
-//! over members, chains gathered from whoever holds them.
+//! A front's client of one store group: appends records to a write quorum, merges the
+//! members' ledgers and looks up turn chains.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, HashMap};
@@ -19,28 +19,28 @@
 use crate::message::{ChainPart, Placement, Record, Reply, Request};
 use crate::quorum::{AppendTally, ChainLookup, ChainTally, LedgerView};
 
-/// How long a member may take before others are asked as well.
-const HEDGE_AFTER: Duration = Duration::from_millis(40);
+/// Time to wait for a member's answer before the next member is asked as well.
+const HEDGE_DELAY: Duration = Duration::from_millis(40);
 
-/// Members that are asked whether a program has begun.
-const ASKED_OF_BEGINNINGS: usize = 2;
+/// Number of members that are asked whether a program has started.
+const MAX_START_LOOKUPS: usize = 2;
 
-/// Pause before a call is repeated on a new connection.
-const RETRY_PAUSE: Duration = Duration::from_millis(40);
+/// Delay before a failed call is retried on a new connection.
+const RETRY_DELAY: Duration = Duration::from_millis(40);
 
-/// Why the group could not do it.
+/// Reason why a group did not serve a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GroupError {
-    /// No member list is known, or it is too small for the tolerance.
+    /// The member list is unknown or too small for the tolerance.
     NoGroup,
     /// Too few members answered in time.
     NoQuorum,
-    /// The member list in use was too old; the next try goes by a newer one,
-    /// which came with the refusal.
+    /// The member list in use is outdated. The newer one came with the rejection and applies
+    /// to the next attempt.
     StaleMembers,
-    /// Disks refuse records.
+    /// The members' disks accept no records.
     DiskRefused,
-    /// The members' memory takes no new turns for a while.
+    /// Members have no memory left for new turns.
     MemoryFull,
 }
 
@@ -58,78 +58,78 @@
 
 impl std::error::Error for GroupError {}
 
-/// What is known of a chain.
+/// Result of a chain lookup.
 #[derive(Clone, Debug)]
 pub enum ChainOutcome {
-    /// The whole chain, newest first.
+    /// The whole chain, newest turn first.
     Complete(Vec<ChainPart>),
-    /// No kept turn has this identifier.
+    /// No stored turn has this identifier.
     Absent(Text),
-    /// Not enough members answered to be sure.
+    /// Too few members answered for a conclusive result.
     Unknown,
 }
 
-/// What the groups of one front share.
+/// State shared by a front's clients of all groups.
 #[derive(Clone)]
 pub struct GroupContext {
     /// Zone of the front.
     pub zone: Text,
-    /// What may be lost at once.
+    /// Losses that the deployment tolerates at the same time.
     pub tolerance: Tolerance,
-    /// What fronts have under way at replicas.
+    /// Requests in flight at replicas, over all fronts.
     pub load: Rc<LoadTracker>,
-    /// What members tell of the directory counts for this one.
+    /// Freshness of the local directory; members' answers confirm it.
     pub directory: Option<Rc<Freshness>>,
-    /// The newest store groups that a refusal has brought.
-    pub newer: Rc<RefCell<Option<StoreGroups>>>,
+    /// Newest store groups that came with a rejection.
+    pub newer_stores: Rc<RefCell<Option<StoreGroups>>>,
 }
 
 impl GroupContext {
-    /// For a front in this zone.
+    /// Creates the context for a front in this zone.
     pub fn new(zone: Text, tolerance: Tolerance) -> Self {
         Self {
             zone,
             tolerance,
             load: Rc::new(LoadTracker::new(rand::random())),
             directory: None,
-            newer: Rc::default(),
+            newer_stores: Rc::default(),
         }
     }
 }
 
-/// Connections to all members of one group, following its member list.
+/// Connections to all members of one group. Follows the group's member list.
 pub struct GroupClient {
     number: GroupNumber,
-    shared: GroupContext,
+    context: GroupContext,
     failing_since: Cell<Option<Instant>>,
     members: RefCell<Rc<Members>>,
     clients: RefCell<HashMap<Text, Rc<StoreClient>>>,
 }
 
 impl GroupClient {
-    /// A group without members yet.
-    pub fn new(number: GroupNumber, shared: GroupContext) -> Self {
+    /// Creates a client without members; `update_members` adds them.
+    pub fn new(number: GroupNumber, context: GroupContext) -> Self {
         Self {
             number,
-            shared,
+            context,
             failing_since: Cell::new(None),
             members: RefCell::default(),
             clients: RefCell::default(),
         }
     }
 
-    /// Its place among the groups.
+    /// Index of this group among the store groups.
     pub fn number(&self) -> GroupNumber {
         self.number
     }
 
-    /// The member list in use.
+    /// Member list in use.
     pub fn members(&self) -> Rc<Members> {
         self.members.borrow().clone()
     }
 
-    /// Takes a member list unless it is older than the one in use; connections
-    /// of unchanged members stay.
+    /// Replaces the member list unless the given one is older. Connections of unchanged
+    /// members stay open.
     pub fn update_members(&self, members: &Members) {
         let current = self.members();
         if members.version < current.version || *members == *current {
@@ -149,18 +149,18 @@
         *self.members.borrow_mut() = Rc::new(members.clone());
     }
 
-    /// The connection to a member.
+    /// Connection to a member.
     pub fn client(&self, node: &Text) -> Option<Rc<StoreClient>> {
         self.clients.borrow().get(node).cloned()
     }
 
-    /// How long no quorum has been reached; `None` while the group serves.
+    /// Time for which the group has reached no quorum; `None` while it does.
     pub fn failing_for(&self) -> Option<Duration> {
         self.failing_since.get().map(|since| since.elapsed())
     }
 
-    fn judge(&self, served: bool) {
-        match served {
+    fn record_availability(&self, available: bool) {
+        match available {
             true => self.failing_since.set(None),
             false if self.failing_since.get().is_none() => {
                 self.failing_since.set(Some(Instant::now()));
@@ -169,14 +169,13 @@
         }
     }
 
-    /// Asks all members whether they are there; the group serves again once a
-    /// write quorum is.
-    pub async fn probe(&self, within: Duration) {
+    /// Pings all members; marks the group as available once a write quorum has answered.
+    pub async fn probe(&self, time_limit: Duration) {
         let members = self.members();
-        let Some(quorums) = members.quorums(&self.shared.tolerance) else {
+        let Some(quorums) = members.quorums(&self.context.tolerance) else {
             return;
         };
-        let (answers, mut inbox) = unbounded_channel();
+        let (answers, mut received) = unbounded_channel();
         for member in members.all() {
             let Some(client) = self.client(&member.node) else {
                 continue;
@@ -184,57 +183,57 @@
             let answers = answers.clone();
             let node = member.node.clone();
             tokio::task::spawn_local(async move {
-                if client.call(Request::Ping, within).await.is_ok() {
+                if client.call(Request::Ping, time_limit).await.is_ok() {
                     let _ = answers.send(node);
                 }
             });
         }
         drop(answers);
-        let mut present = BTreeSet::new();
-        while let Some(node) = inbox.recv().await {
-            present.insert(node);
-            if members.has_quorum(quorums, |member| present.contains(&member.node)) {
-                self.judge(true);
+        let mut reachable = BTreeSet::new();
+        while let Some(node) = received.recv().await {
+            reachable.insert(node);
+            if members.has_quorum(quorums, |member| reachable.contains(&member.node)) {
+                self.record_availability(true);
                 return;
             }
         }
     }
 
-    /// Writes a record to every member; done once a write quorum has it
-    /// on disk. For reservations the quorum's members are complete ones, and
-    /// the merged ledger is returned.
+    /// Sends a record to every member and returns once a write quorum has it on disk. For a
+    /// reservation the quorum counts only complete members, and the result is their merged
+    /// ledger.
     pub async fn append(
         &self,
         record: Record,
         placement: Option<Placement>,
-        within: Duration,
+        time_limit: Duration,
     ) -> Result<LedgerView, GroupError> {
-        let outcome = self.append_once(record, placement, within).await;
-        self.judge(outcome.is_ok());
+        let outcome = self.append_to_members(record, placement, time_limit).await;
+        self.record_availability(outcome.is_ok());
         outcome
     }
 
-    async fn append_once(
+    async fn append_to_members(
         &self,
         record: Record,
         placement: Option<Placement>,
-        within: Duration,
+        time_limit: Duration,
     ) -> Result<LedgerView, GroupError> {
         let members = self.members();
         let reads_ledger = matches!(record, Record::Reserve { .. });
-        let mut tally = AppendTally::new(&members, &self.shared.tolerance, reads_ledger)?;
-        let sent = Instant::now();
-        let (answers, mut inbox) = unbounded_channel();
+        let mut tally = AppendTally::new(&members, &self.context.tolerance, reads_ledger)?;
+        let sent_at = Instant::now();
+        let (answers, mut received) = unbounded_channel();
         let request = EncodedMessage::encode(&Request::Append {
             group: self.number,
             members_version: members.version,
-            load: self.shared.load.report(self.number),
+            load: self.context.load.report(self.number),
             placement,
             record,
         });
         let extensions = Rc::new(ExtensionFields {
-            rank_loads: self.shared.load.ranks.report(),
-            engine_latencies: self.shared.load.engines.take_unreported(self.number),
+            rank_loads: self.context.load.ranks.report(),
+            engine_latencies: self.context.load.engines.take_unreported(self.number),
             ..ExtensionFields::default()
         });
         for member in members.all() {
@@ -244,22 +243,23 @@
             let request = request.clone();
             let answers = answers.clone();
             let node = member.node.clone();
-            // The append goes on when this caller leaves: copies spread.
+            // Not cancelled with the caller: the remaining members should store the record
+            // too.
             let extensions = extensions.clone();
             tokio::task::spawn_local(async move {
-                let called = call_until(&client, request, extensions, within);
-                let _ = answers.send((node, called.await));
+                let call = call_with_retry(&client, request, extensions, time_limit);
+                let _ = answers.send((node, call.await));
             });
         }
         drop(answers);
-        while let Some(answer) = inbox.recv().await {
+        while let Some(answer) = received.recv().await {
             let (node, Ok(mut answer)) = answer else {
                 continue;
             };
-            self.hear(&mut answer, reads_ledger, sent);
+            self.apply_answer(&mut answer, reads_ledger, sent_at);
             tally.add_reply(&node, answer.reply);
             if let Some(newer) = tally.take_newer_stores() {
-                self.take_newer(newer);
+                self.apply_newer_stores(newer);
             }
             if tally.is_stored() {
                 break;
@@ -268,74 +268,75 @@
         tally.outcome()
     }
 
-    /// Takes what comes along with an answer.
-    fn hear(&self, answer: &mut ExtendedReply, reads_ledger: bool, sent: Instant) {
-        self.hear_fields(&answer.extension_fields);
+    /// Applies the reports that an answer carries.
+    fn apply_answer(&self, answer: &mut ExtendedReply, reads_ledger: bool, sent_at: Instant) {
+        self.apply_extensions(&answer.extension_fields);
         let Reply::Stored {
-            other_fronts: others,
+            other_fronts,
             directory,
             ..
         } = &mut answer.reply
         else {
             return;
         };
-        if let Some(own) = &self.shared.directory {
-            own.apply_peer_mark(*directory, sent);
+        if let Some(freshness) = &self.context.directory {
+            freshness.apply_peer_mark(*directory, sent_at);
         }
         if reads_ledger {
-            self.shared
+            self.context
                 .load
-                .apply_report(self.number, std::mem::take(others));
+                .apply_report(self.number, std::mem::take(other_fronts));
         }
     }
 
-    fn hear_fields(&self, extensions: &ExtensionFields) {
+    fn apply_extensions(&self, extensions: &ExtensionFields) {
         if let Some(rank_loads) = &extensions.rank_loads {
-            self.shared.load.ranks.apply_report(rank_loads);
+            self.context.load.ranks.apply_report(rank_loads);
         }
         if let Some(deviations) = &extensions.engine_deviations {
-            self.shared.load.engines.apply_report(deviations);
+            self.context.load.engines.apply_report(deviations);
         }
     }
 
-    /// Whether any turn of a program has begun, by what some members know: the nearest,
-    /// and others, as one may have missed the last records. `None` where none can tell.
-    pub async fn has_started(&self, program: &Text, within: Duration) -> Option<bool> {
+    /// Returns whether any turn of a program has started; `None` if no member knows. Asks
+    /// several members, the nearest first, since one may have missed the latest records.
+    pub async fn has_started(&self, program: &Text, time_limit: Duration) -> Option<bool> {
         let members = self.members();
         let mut order: Vec<&Member> = members.all().collect();
-        order.sort_by_cached_key(|member| (member.zone != self.shared.zone, rand::random::<u32>()));
+        order
+            .sort_by_cached_key(|member| (member.zone != self.context.zone, rand::random::<u32>()));
         let extensions = Rc::new(ExtensionFields {
             program: Some(program.clone()),
-            front: Some(self.shared.load.front()),
+            front: Some(self.context.load.front()),
             ..ExtensionFields::default()
         });
-        let (answers, mut inbox) = unbounded_channel();
-        for member in order.into_iter().take(ASKED_OF_BEGINNINGS) {
+        let (answers, mut received) = unbounded_channel();
+        for member in order.into_iter().take(MAX_START_LOOKUPS) {
             let Some(client) = self.client(&member.node) else {
                 continue;
             };
             let (extensions, answers) = (extensions.clone(), answers.clone());
             tokio::task::spawn_local(async move {
                 let ping = EncodedMessage::encode(&Request::Ping);
-                let called = client.call_with_fields(ping, extensions, within).await;
-                let _ = answers.send(called.ok().map(|answer| answer.extension_fields));
+                let call = client.call_with_fields(ping, extensions, time_limit).await;
+                let _ = answers.send(call.ok().map(|answer| answer.extension_fields));
             });
         }
         drop(answers);
-        let mut told = None;
-        while let Some(answer) = inbox.recv().await {
+        let mut started = None;
+        while let Some(answer) = received.recv().await {
             let answer = answer.unwrap_or_default();
-            self.hear_fields(&answer);
+            self.apply_extensions(&answer);
             if answer.started == Some(true) {
                 return answer.started;
             }
-            told = told.or(answer.started);
+            started = started.or(answer.started);
         }
-        told
+        started
     }
 
-    /// Tells all members something that is only a hint, without waiting.
-    pub fn send_hint(&self, request: &Request, within: Duration) {
+    /// Sends a request to all members without waiting for answers.
+    pub fn send_hint(&self, request: &Request, time_limit: Duration) {
         let request = EncodedMessage::encode(request);
         for member in self.members().all() {
             let Some(client) = self.client(&member.node) else {
@@ -343,18 +344,19 @@
             };
             let request = request.clone();
             tokio::task::spawn_local(async move {
-                // A hint that is lost fades by itself.
-                let _ = client.call_encoded(request, within).await;
+                // A lost hint is harmless: what it would correct expires.
+                let _ = client.call_encoded(request, time_limit).await;
             });
         }
     }
 
-    /// Follows its own list in newer store groups, and hands them on.
-    fn take_newer(&self, newer: StoreGroups) {
+    /// Applies this group's member list from newer store groups, and passes them to the other
+    /// groups.
+    fn apply_newer_stores(&self, newer: StoreGroups) {
         if let Some(members) = newer.group(self.number) {
             self.update_members(members);
         }
-        let mut known = self.shared.newer.borrow_mut();
+        let mut known = self.context.newer_stores.borrow_mut();
         if known
             .as_ref()
             .is_none_or(|known| known.version < newer.version)
@@ -363,38 +365,38 @@
         }
     }
 
-    /// What the group knows of one turn and those before it, nearest member first.
-    pub async fn chain_step(&self, turn: &Text, deadline: Instant) -> ChainLookup {
+    /// Looks up a turn and its predecessors, in members of the local zone first.
+    pub async fn lookup_chain(&self, turn: &Text, deadline: Instant) -> ChainLookup {
         let members = self.members();
-        let Some(mut tally) = ChainTally::new(&members, &self.shared.tolerance) else {
+        let Some(mut tally) = ChainTally::new(&members, &self.context.tolerance) else {
             return ChainLookup::Unknown;
         };
-        let (answers, mut inbox) = unbounded_channel();
+        let (answers, mut received) = unbounded_channel();
         let mut order: Vec<&Member> = members.all().collect();
-        order.sort_by_key(|member| member.zone != self.shared.zone);
-        let mut waiting = order.into_iter();
-        let mut asked = 0;
+        order.sort_by_key(|member| member.zone != self.context.zone);
+        let mut candidates = order.into_iter();
+        let mut requested = 0;
         let mut answered = 0;
         loop {
-            if asked == answered
-                && let Some(member) = waiting.next()
+            if requested == answered
+                && let Some(member) = candidates.next()
             {
-                asked += 1;
-                self.ask_chain(member, members.version, turn, deadline, &answers);
+                requested += 1;
+                self.request_chain(member, members.version, turn, deadline, &answers);
             }
-            if asked == answered {
+            if requested == answered {
                 return ChainLookup::Unknown;
             }
-            let hedge = (Instant::now() + HEDGE_AFTER).min(deadline);
+            let hedge_at = (Instant::now() + HEDGE_DELAY).min(deadline);
             let answer = tokio::select! {
-                answer = inbox.recv() => answer,
-                () = tokio::time::sleep_until(hedge) => {
+                answer = received.recv() => answer,
+                () = tokio::time::sleep_until(hedge_at) => {
                     if Instant::now() >= deadline {
                         return ChainLookup::Unknown;
                     }
-                    if let Some(member) = waiting.next() {
-                        asked += 1;
-                        self.ask_chain(member, members.version, turn, deadline, &answers);
+                    if let Some(member) = candidates.next() {
+                        requested += 1;
+                        self.request_chain(member, members.version, turn, deadline, &answers);
                     }
                     continue;
                 }
@@ -404,7 +406,7 @@
                 tally.add_reply(&node, reply);
             }
             if let Some(newer) = tally.take_newer_stores() {
-                self.take_newer(newer);
+                self.apply_newer_stores(newer);
             }
             let step = tally.step();
             if step != ChainLookup::Unknown {
@@ -413,9 +415,9 @@
         }
     }
 
-    /// Asks by the version that the answers are counted by: a newer list may have come
-    /// since the question began.
-    fn ask_chain(
+    /// Sends the version by which the answers are counted: the member list may have been
+    /// replaced since the lookup started.
+    fn request_chain(
         &self,
         member: &Member,
         members_version: u64,
@@ -435,31 +437,31 @@
         let answers = answers.clone();
         let node = member.node.clone();
         tokio::task::spawn_local(async move {
-            let within = deadline.saturating_duration_since(Instant::now());
-            let _ = answers.send((node, client.call(request, within).await.ok()));
+            let time_limit = deadline.saturating_duration_since(Instant::now());
+            let _ = answers.send((node, client.call(request, time_limit).await.ok()));
         });
     }
 }
 
-/// Repeats a call that ended with its connection: records are known by their
-/// digests, so that a second copy does no harm.
-async fn call_until(
+/// Retries a call after a connection failure. Members identify records by their digests, so a
+/// duplicate is harmless.
+async fn call_with_retry(
     client: &StoreClient,
     request: EncodedMessage,
     extensions: Rc<ExtensionFields>,
-    within: Duration,
+    time_limit: Duration,
 ) -> Result<ExtendedReply, CallError> {
-    let deadline = Instant::now() + within;
+    let deadline = Instant::now() + time_limit;
     loop {
-        let left = deadline.saturating_duration_since(Instant::now());
-        let called = client.call_with_fields(request.clone(), extensions.clone(), left);
-        let error = match called.await {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let call = client.call_with_fields(request.clone(), extensions.clone(), remaining);
+        let error = match call.await {
             Ok(answer) => return Ok(answer),
             Err(error) => error,
         };
-        if Instant::now() + RETRY_PAUSE >= deadline {
+        if Instant::now() + RETRY_DELAY >= deadline {
             return Err(error);
         }
-        tokio::time::sleep(RETRY_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
--- a/crates/stageyoke-store/src/group_clients.rs
+++ b/crates/stageyoke-store/src/group_clients.rs
@@ -1,5 +1,5 @@
-//! A front's dealings with all store groups: each program's records go to the
-//! members of its group, and to no other store.
+//! A front's client of all store groups. Sends each program's records to the members of the
+//! program's group only.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -19,67 +19,66 @@
 use crate::quorum::{ChainLookup, LedgerView};
 use crate::quota_owners::{self, OwnerDecision, QuotaGrant, QuotaOwners};
 
-/// How long the group that a program belongs to may take before the others are
-/// asked for a turn that the program goes on from: another program may have
-/// made it. A few ways to a store and back.
-const OTHERS_AFTER: Duration = Duration::from_millis(60);
+/// Delay before the other groups are asked for a turn that the program's own group has not
+/// found yet: the turn may belong to another program. A few round trips.
+const OTHER_GROUPS_DELAY: Duration = Duration::from_millis(60);
 
-/// How long a hint is tried.
-const TELL_WITHIN: Duration = Duration::from_millis(500);
+/// Time after which an unanswered hint is dropped.
+const HINT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Connections to the store groups, following their map.
+/// Connections to the store groups. Follows the directory of groups.
 pub struct GroupClients {
-    shared: GroupContext,
+    context: GroupContext,
     stores: RefCell<Rc<StoreGroups>>,
     groups: RefCell<Vec<Rc<GroupClient>>>,
     owners: QuotaOwners,
-    /// Since when records find no group, as the groups are not known.
+    /// Start of the period in which records have no group because no groups are known.
     unknown_since: Cell<Option<Instant>>,
 }
 
-/// What one group said of a turn.
-struct Answer {
-    own: bool,
+/// One group's result of a chain lookup.
+struct GroupAnswer {
+    is_own_group: bool,
     step: ChainLookup,
 }
 
 impl GroupClients {
-    /// No groups yet, for a front in this zone.
+    /// Creates a client without groups, for a front in this zone.
     pub fn new(zone: Text, tolerance: Tolerance) -> Self {
         Self {
             owners: QuotaOwners::with_tolerance(tolerance.clone()),
-            shared: GroupContext::new(zone, tolerance),
+            context: GroupContext::new(zone, tolerance),
             stores: RefCell::default(),
             groups: RefCell::default(),
             unknown_since: Cell::new(None),
         }
     }
 
-    /// The directory that what stores tell counts for.
+    /// Freshness of the local directory, which the stores' answers confirm.
     pub(crate) fn directory(&self) -> Option<&Rc<Freshness>> {
-        self.shared.directory.as_ref()
+        self.context.directory.as_ref()
     }
 
-    /// The same; what stores tell of the directory counts for this one.
+    /// Lets the stores' answers confirm this directory's freshness.
     pub fn with_directory_freshness(self, directory: Rc<Freshness>) -> Self {
-        let shared = GroupContext {
+        let context = GroupContext {
             directory: Some(directory),
-            ..self.shared
+            ..self.context
         };
-        Self { shared, ..self }
+        Self { context, ..self }
     }
 
-    /// What fronts have under way at replicas.
+    /// Requests in flight at replicas, over all fronts.
     pub fn load(&self) -> &Rc<LoadTracker> {
-        &self.shared.load
+        &self.context.load
     }
 
-    /// The store groups in use.
+    /// Store groups in use.
     pub fn stores(&self) -> Rc<StoreGroups> {
         self.stores.borrow().clone()
     }
 
-    /// Takes the store groups unless they are older than those in use.
+    /// Replaces the store groups unless the given ones are older.
     pub fn update_stores(&self, stores: &Rc<StoreGroups>) {
         if stores.version < self.stores().version {
             return;
@@ -87,7 +86,7 @@
         let mut groups = self.groups.borrow_mut();
         for (number, members) in stores.numbered() {
             if groups.len() <= number.0 as usize {
-                groups.push(Rc::new(GroupClient::new(number, self.shared.clone())));
+                groups.push(Rc::new(GroupClient::new(number, self.context.clone())));
             }
             groups[number.0 as usize].update_members(members);
         }
@@ -104,21 +103,21 @@
         groups.iter().find_map(|group| group.client(node))
     }
 
-    /// Asks the stores that count a tenant's requests for one more; `None` where
-    /// none of them answers.
+    /// Asks a tenant's quota owners to admit one more request; `None` if none of them
+    /// answers.
     pub async fn request_quota(&self, question: AcquireRequest) -> Option<OwnerDecision> {
         let client = |node: &Text| self.client(node);
         self.owners.request_decision(question, client).await
     }
 
-    /// Gives back a request that an owner has granted and that was not run.
+    /// Refunds a granted request that was not run.
     pub fn refund(&self, grant: &QuotaGrant) {
         quota_owners::refund(grant, self.client(&grant.owner));
     }
 
-    /// Takes what refusals have brought; true if there was any.
-    fn follow_newer(&self) -> bool {
-        let newer = self.shared.newer.borrow_mut().take();
+    /// Applies newer store groups that came with a rejection; returns whether there were any.
+    fn apply_newer_stores(&self) -> bool {
+        let newer = self.context.newer_stores.borrow_mut().take();
         match newer {
             Some(newer) => {
                 self.update_stores(&Rc::new(newer));
@@ -128,39 +127,39 @@
         }
     }
 
-    /// Connections to some stores: one of the front's zone, as its way is short,
-    /// and others at random, as what ails one may ail its whole zone.
-    pub fn sample_clients(&self, most: usize) -> Vec<Rc<StoreClient>> {
+    /// Returns connections to some stores: one in the front's zone, for short round trips,
+    /// and random others, since a fault may affect the whole zone.
+    pub fn sample_clients(&self, max_clients: usize) -> Vec<Rc<StoreClient>> {
         let stores = self.stores();
         let mut members: Vec<&Member> = stores.members().collect();
         members.sort_by_cached_key(|_| rand::random::<u32>());
-        let near = |member: &&Member| member.zone == self.shared.zone;
-        if let Some(nearest) = members.iter().position(near) {
+        let is_local = |member: &&Member| member.zone == self.context.zone;
+        if let Some(nearest) = members.iter().position(is_local) {
             members.swap(0, nearest);
         }
-        let asked = members.into_iter().take(most);
-        asked
+        let selected = members.into_iter().take(max_clients);
+        selected
             .filter_map(|member| self.client(&member.node))
             .collect()
     }
 
-    /// The group that keeps what a program does. A turn that names no program
-    /// is its own.
+    /// Returns the group that stores a program's records. A turn without a program is
+    /// assigned by its own identifier.
     pub fn group_of_program(&self, program: &str, turn: &str) -> Option<Rc<GroupClient>> {
-        let own = || self.number_of(turn);
-        let GroupNumber(number) = self.group_number(program).or_else(own)?;
+        let by_turn = || self.group_number_for(turn);
+        let GroupNumber(number) = self.group_number(program).or_else(by_turn)?;
         self.groups.borrow().get(number as usize).cloned()
     }
 
-    /// The number of a program's group; none for what has no program.
+    /// Number of a program's group; `None` for an empty program name.
     pub fn group_number(&self, program: &str) -> Option<GroupNumber> {
         match program.is_empty() {
             true => None,
-            false => self.number_of(program),
+            false => self.group_number_for(program),
         }
     }
 
-    fn number_of(&self, identifier: &str) -> Option<GroupNumber> {
+    fn group_number_for(&self, identifier: &str) -> Option<GroupNumber> {
         let TurnKey(hash) = TurnKey::of(identifier);
         self.stores.borrow().group_of_hash(hash)
     }
@@ -175,13 +174,12 @@
         }
     }
 
-    /// How long a program's group has reached no quorum; `None` while it
-    /// serves.
+    /// Time for which the program's group has reached no quorum; `None` while it does.
     pub fn failing_for(&self, program: &str, turn: &str) -> Option<Duration> {
         self.group_of_program(program, turn)?.failing_for()
     }
 
-    /// How long no group at all has served; `None` while one does.
+    /// Time for which no group at all has reached a quorum; `None` while any does.
     pub fn all_failing_for(&self) -> Option<Duration> {
         let groups = self.groups.borrow();
         if groups.is_empty() {
@@ -192,85 +190,91 @@
         failing?.into_iter().min()
     }
 
-    /// Groups that reach no quorum.
+    /// Groups that currently reach no quorum.
     pub fn failing_groups(&self) -> Vec<Rc<GroupClient>> {
         let groups = self.groups.borrow();
         let failing = groups.iter().filter(|group| group.failing_for().is_some());
         failing.cloned().collect()
     }
 
-    /// Writes a record to the members of its program's group; done once a write
-    /// quorum has it on disk. A reservation gives the program's ledger.
-    pub async fn append(&self, record: Record, within: Duration) -> Result<LedgerView, GroupError> {
-        self.append_with_placement(record, None, within).await
+    /// Sends a record to its program's group and returns once a write quorum has it on disk.
+    /// For a reservation the result is the program's ledger.
+    pub async fn append(
+        &self,
+        record: Record,
+        time_limit: Duration,
+    ) -> Result<LedgerView, GroupError> {
+        self.append_with_placement(record, None, time_limit).await
     }
 
-    /// The same for the reservation of a turn that is to run there.
+    /// Appends a record like `append`. A reservation also reports the replica on which its
+    /// turn is placed.
     pub async fn append_with_placement(
         &self,
         record: Record,
         placement: Option<Placement>,
-        within: Duration,
+        time_limit: Duration,
     ) -> Result<LedgerView, GroupError> {
         let Some(group) = self.group_of_record(&record) else {
             let since = self.unknown_since.get().unwrap_or_else(Instant::now);
             self.unknown_since.set(Some(since));
             return Err(GroupError::NoGroup);
         };
-        let outcome = group.append(record, placement, within).await;
-        self.follow_newer();
+        let outcome = group.append(record, placement, time_limit).await;
+        self.apply_newer_stores();
         outcome
     }
 
-    /// Whether any turn of a program has begun; `None` where no store can tell.
-    pub async fn has_started(&self, program: &Text, within: Duration) -> Option<bool> {
+    /// Returns whether any turn of a program has started; `None` if no store knows.
+    pub async fn has_started(&self, program: &Text, time_limit: Duration) -> Option<bool> {
         let group = self.group_of_program(program, "")?;
-        group.has_started(program, within).await
+        group.has_started(program, time_limit).await
     }
 
-    /// Tells a program's group that its turn runs there after all.
+    /// Reports to a program's group that a turn runs on another replica than its reservation
+    /// said.
     pub fn report_placement(&self, program: &str, turn: &str, placement: Placement) {
         let TurnKey(key) = TurnKey::of(turn);
         let request = Request::TurnPlaced {
             turn: key,
             placement,
         };
-        self.tell(program, turn, &request);
+        self.send_hint(program, turn, &request);
     }
 
-    /// Tells a program's group that its turn is over.
+    /// Reports to a program's group that a turn has ended.
     pub fn report_turn_end(&self, program: &str, turn: &str) {
         let TurnKey(key) = TurnKey::of(turn);
-        self.tell(program, turn, &Request::TurnEnded { turn: key });
+        self.send_hint(program, turn, &Request::TurnEnded { turn: key });
     }
 
-    fn tell(&self, program: &str, turn: &str, request: &Request) {
+    fn send_hint(&self, program: &str, turn: &str, request: &Request) {
         if let Some(group) = self.group_of_program(program, turn) {
-            group.send_hint(request, TELL_WITHIN);
+            group.send_hint(request, HINT_TIMEOUT);
         }
     }
 
-    /// Sends a record without waiting.
-    pub fn append_in_background(self: &Rc<Self>, record: Record, within: Duration) {
+    /// Appends a record without waiting. Retries once with a newer member list.
+    pub fn append_in_background(self: &Rc<Self>, record: Record, time_limit: Duration) {
         let groups = self.clone();
         tokio::task::spawn_local(async move {
-            let outcome = groups.append(record.clone(), within).await;
+            let outcome = groups.append(record.clone(), time_limit).await;
             if matches!(outcome, Err(GroupError::StaleMembers)) {
-                let _ = groups.append(record, within).await;
+                let _ = groups.append(record, time_limit).await;
             }
         });
     }
 
-    /// Gathers the chain that ends in `turn`, from the program's own group
-    /// first: a program may go on from another's turns.
-    pub async fn chain(&self, program: &str, turn: &Text, within: Duration) -> ChainOutcome {
-        let deadline = Instant::now() + within;
+    /// Gathers the chain that ends in `turn`. Asks the program's own group first, then the
+    /// others: a program may continue another program's turns.
+    pub async fn chain(&self, program: &str, turn: &Text, time_limit: Duration) -> ChainOutcome {
+        let deadline = Instant::now() + time_limit;
         let mut parts: Vec<ChainPart> = Vec::new();
         let mut next = turn.clone();
         loop {
-            let mut step = self.chain_step(program, &next, deadline).await;
-            if step == ChainLookup::Unknown && self.follow_newer() {
-                step = self.chain_step(program, &next, deadline).await;
+            let mut step = self.lookup_chain(program, &next, deadline).await;
+            if step == ChainLookup::Unknown && self.apply_newer_stores() {
+                step = self.lookup_chain(program, &next, deadline).await;
             }
             match step {
                 ChainLookup::Parts { found, missing } => {
@@ -286,60 +290,60 @@
         }
     }
 
-    /// Absent only where every group is sure of it.
-    async fn chain_step(&self, program: &str, turn: &Text, deadline: Instant) -> ChainLookup {
-        let Some(own) = self.group_of_program(program, turn) else {
+    /// Looks up one part of a chain. The turn is absent only if every group says so.
+    async fn lookup_chain(&self, program: &str, turn: &Text, deadline: Instant) -> ChainLookup {
+        let Some(own_group) = self.group_of_program(program, turn) else {
             return ChainLookup::Unknown;
         };
-        let mut others: Vec<Rc<GroupClient>> = self.groups.borrow().clone();
-        others.retain(|group| !Rc::ptr_eq(group, &own));
-        let (answers, mut inbox) = unbounded_channel();
-        ask(own, true, turn, deadline, &answers);
+        let mut other_groups: Vec<Rc<GroupClient>> = self.groups.borrow().clone();
+        other_groups.retain(|group| !Rc::ptr_eq(group, &own_group));
+        let (answers, mut received) = unbounded_channel();
+        spawn_lookup(own_group, true, turn, deadline, &answers);
         let mut pending = 1;
-        let mut sure = true;
-        let others_from = Instant::now() + OTHERS_AFTER;
+        let mut all_absent = true;
+        let other_groups_at = Instant::now() + OTHER_GROUPS_DELAY;
         while pending > 0 {
             let answer = tokio::select! {
-                answer = inbox.recv() => answer,
-                () = tokio::time::sleep_until(others_from), if !others.is_empty() => None,
+                answer = received.recv() => answer,
+                () = tokio::time::sleep_until(other_groups_at), if !other_groups.is_empty() => None,
             };
-            let own_missed_it = match answer {
-                Some(Answer {
+            let asks_other_groups = match answer {
+                Some(GroupAnswer {
                     step: found @ ChainLookup::Parts { .. },
                     ..
                 }) => return found,
-                Some(Answer { own, step }) => {
+                Some(GroupAnswer { is_own_group, step }) => {
                     pending -= 1;
-                    sure &= step == ChainLookup::Absent;
-                    own
+                    all_absent &= step == ChainLookup::Absent;
+                    is_own_group
                 }
                 None => true,
             };
-            if own_missed_it {
-                for group in others.drain(..) {
+            if asks_other_groups {
+                for group in other_groups.drain(..) {
                     pending += 1;
-                    ask(group, false, turn, deadline, &answers);
+                    spawn_lookup(group, false, turn, deadline, &answers);
                 }
             }
         }
-        match sure {
+        match all_absent {
             true => ChainLookup::Absent,
             false => ChainLookup::Unknown,
         }
     }
 }
 
-fn ask(
+fn spawn_lookup(
     group: Rc<GroupClient>,
-    own: bool,
+    is_own_group: bool,
     turn: &Text,
     deadline: Instant,
-    answers: &UnboundedSender<Answer>,
+    answers: &UnboundedSender<GroupAnswer>,
 ) {
     let turn = turn.clone();
     let answers = answers.clone();
     tokio::task::spawn_local(async move {
-        let step = group.chain_step(&turn, deadline).await;
-        let _ = answers.send(Answer { own, step });
+        let step = group.lookup_chain(&turn, deadline).await;
+        let _ = answers.send(GroupAnswer { is_own_group, step });
     });
 }
--- a/crates/stageyoke-store/src/journal_sync.rs
+++ b/crates/stageyoke-store/src/journal_sync.rs
@@ -1,109 +1,116 @@
-//! What a store has seen of one peer's journal, and what of it is still missing
-//! here. Pure: whoever drives it sends the calls.
+//! Tracks how far a store has read a peer's journal and which of its records are still
+//! missing locally. Pure: the caller sends the requests.
 
 use crate::message::{JournalPosition, RecordDigest};
 
-/// Progress with one peer.
+/// Synchronization state with one peer.
 #[derive(Clone, Debug, Default)]
 pub struct JournalSync {
     position: JournalPosition,
-    held: JournalPosition,
-    late: Vec<RecordDigest>,
-    compared: Option<u64>,
-    in_step: Option<u64>,
-    caught_up: Option<u64>,
+    held_position: JournalPosition,
+    /// Digests seen in the peer's journal whose records are not stored locally.
+    missing: Vec<RecordDigest>,
+    /// The peer's member list version if the last page reached the end of a complete peer's
+    /// journal.
+    compared_version: Option<u64>,
+    in_sync_version: Option<u64>,
+    caught_up_version: Option<u64>,
 }
 
-/// A page of a peer's digests.
+/// One page of a peer's record digests.
 #[derive(Clone, Copy, Debug)]
 pub struct DigestPage<'a> {
-    /// In journal order.
+    /// Digests in journal order.
     pub digests: &'a [RecordDigest],
     /// Position after the page.
     pub next: JournalPosition,
-    /// Whether the peer's journal goes on after it.
+    /// True if the journal continues after the page.
     pub more: bool,
-    /// Whether the peer vouches for what it misses.
+    /// True if the peer is authoritative for the records that it lacks.
     pub complete: bool,
-    /// The version of the member list that the peer goes by.
+    /// Version of the member list that the peer uses.
     pub members_version: u64,
 }
 
 impl JournalSync {
-    /// Digests that were seen there and are still missing here.
+    /// Returns the digests seen in the peer's journal that are not stored locally yet.
     pub fn missing_digests(&mut self, holds: impl Fn(RecordDigest) -> bool) -> Vec<RecordDigest> {
-        self.late.retain(|digest| !holds(*digest));
-        self.late.clone()
+        self.missing.retain(|digest| !holds(*digest));
+        self.missing.clone()
     }
 
-    /// The peer holds these no longer: they are past their time. Nothing is taken from
-    /// another journal than the one that was compared with: a lost disk forgets too.
-    pub fn forget_expired(&mut self, journal: u64, forgotten: &[RecordDigest]) {
+    /// Drops digests of records that have expired at the peer. Ignored if the peer's journal
+    /// is another one than was read: a replaced disk lacks records too.
+    pub fn forget_expired(&mut self, journal: u64, expired: &[RecordDigest]) {
         if journal == self.position.journal {
-            self.late.retain(|digest| !forgotten.contains(digest));
+            self.missing.retain(|digest| !expired.contains(digest));
         }
     }
 
-    /// Whether nothing that was seen there is missing.
+    /// Checks whether all records seen in the peer's journal are stored locally.
     pub fn has_nothing_missing(&self) -> bool {
-        self.late.is_empty()
+        self.missing.is_empty()
     }
 
-    /// The next comparison goes on here.
+    /// Position at which the next page starts.
     pub fn position(&self) -> JournalPosition {
         self.position
     }
 
-    /// Up to where everything is held here.
+    /// Position up to which all of the peer's records are stored locally.
     pub fn held_position(&self) -> JournalPosition {
-        self.held
+        self.held_position
     }
 
-    /// Before a comparison: what was missing has been asked for. While fronts write, each
-    /// page shows something new, so that only now nothing may be missing.
+    /// Advances the held position once all missing records have been fetched. Called before the
+    /// next page is read: while fronts write, each page contains new records, so only at this
+    /// point can none be missing.
     pub fn mark_fetched(&mut self) {
         if !self.has_nothing_missing() {
             return;
         }
-        self.held = self.position;
-        self.in_step = self.compared.or(self.in_step);
-        self.caught_up = self.compared.max(self.caught_up);
+        self.held_position = self.position;
+        self.in_sync_version = self.compared_version.or(self.in_sync_version);
+        self.caught_up_version = self.compared_version.max(self.caught_up_version);
     }
 
-    /// Takes a page.
+    /// Adds a page of digests.
     pub fn apply_page(&mut self, page: DigestPage<'_>, holds: impl Fn(RecordDigest) -> bool) {
         let missing = page.digests.iter().copied();
-        self.late.extend(missing.filter(|digest| !holds(*digest)));
+        self.missing
+            .extend(missing.filter(|digest| !holds(*digest)));
         self.position = page.next;
-        let whole = !page.more && page.complete;
-        self.compared = whole.then_some(page.members_version);
+        let is_final = !page.more && page.complete;
+        self.compared_version = is_final.then_some(page.members_version);
     }
 
-    /// After a page: a complete peer is caught up with at its journal's end,
-    /// unless something is missing.
+    /// Records that this store has caught up with the peer if the peer is complete, its journal
+    /// was read to the end and no record is missing.
     pub fn mark_page_end(&mut self) {
         if self.has_nothing_missing() {
-            self.caught_up = self.compared.max(self.caught_up);
+            self.caught_up_version = self.compared_version.max(self.caught_up_version);
         }
     }
 
-    /// Whether everything that the peer, complete, held was held here once.
+    /// Checks whether all records of the peer have been stored locally at some point while
+    /// the peer was complete.
     pub fn is_caught_up(&self) -> bool {
-        self.caught_up.is_some()
+        self.caught_up_version.is_some()
     }
 
-    /// The same while the peer went by this version of the member list, or a newer
-    /// one: an older one may still let records be kept that stand nowhere else.
+    /// Checks whether this store has caught up with the peer while the peer used this version
+    /// of the member list or a newer one. Under an older list, records could still be stored
+    /// that no other member has.
     pub fn is_caught_up_at(&self, members_version: u64) -> bool {
-        self.caught_up
+        self.caught_up_version
             .is_some_and(|version| version >= members_version)
     }
 
-    /// Whether everything is held here that the peer, complete, held when it
-    /// went by this version of the member list already. From then on it has
-    /// taken nothing from fronts with an older list.
+    /// Checks whether all records are stored locally that the complete peer held when it
+    /// already used this version of the member list. Since then it has accepted nothing from
+    /// fronts with an older list.
     pub fn is_in_sync(&self, members_version: u64) -> bool {
-        self.in_step
+        self.in_sync_version
             .is_some_and(|version| version >= members_version)
     }
 }
--- a/crates/stageyoke-store/src/limits.rs
+++ b/crates/stageyoke-store/src/limits.rs
@@ -1,53 +1,51 @@
-//! What a store's memory is given to, worked out from its machine's limit.
+//! Derives a store's memory limits from the memory of its machine.
 
 use std::time::Duration;
 
 use crate::journal::DEFAULT_SEGMENT_BYTES;
 
-/// Part of the memory for the index. The rest holds the program (10 MB on a
-/// machine of 58 MB, measured), a segment that is looked at, what waits for the
-/// disk and the sockets, and what the allocator can't give back.
-const STATE_PART: f64 = 0.5;
-/// Part of the memory for the newest turns' contents, within the index's part.
-const RECENT_PART: f64 = 0.08;
-/// Part of the memory that may wait for the disk.
-const BACKLOG_PART: f64 = 0.1;
-/// Part of the index's memory beyond which no new turn begins.
-const RESERVE_PART: f64 = 0.85;
-/// Memory where the settings name none: the smallest store machine's among the
-/// deployments.
+/// Fraction of the memory for the index. The rest is for the process itself (about 10 MB), a
+/// segment being read, records that wait for the disk, socket buffers and allocator overhead.
+const STATE_FRACTION: f64 = 0.5;
+/// Fraction of the memory for the contents of recent turns; part of the index's share.
+const RECENT_FRACTION: f64 = 0.08;
+/// Fraction of the memory for records that wait for the disk.
+const BACKLOG_FRACTION: f64 = 0.1;
+/// Fraction of the index's memory above which no new turn is accepted.
+const RESERVATION_FRACTION: f64 = 0.85;
+/// Default memory limit: that of the smallest store machine of all deployments.
 pub const DEFAULT_MEMORY_BYTES: u64 = 58 * 1024 * 1024;
 
-/// Time from the start of a lost store's successor until the group must bear the next
-/// loss, where the settings name none: the shortest among the deployments.
+/// Default time from the start of a lost store's successor until the group must tolerate the
+/// next loss: the shortest of all deployments.
 pub const DEFAULT_CATCH_UP_TIME: Duration = Duration::from_secs(4);
 
-/// Bounds of one store.
+/// Resource limits of one store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreLimits {
-    /// Estimated bytes of the index beyond which no record is taken.
+    /// Estimated size of the index above which no record is accepted.
     pub state_bytes: usize,
-    /// Bytes of the newest turns' contents.
+    /// Memory for the contents of recent turns.
     pub recent_bytes: usize,
-    /// Bytes of records that wait for the disk.
+    /// Memory for records that wait for the disk.
     pub backlog_bytes: usize,
-    /// A segment of the journal is closed beyond this size.
+    /// Size above which a journal segment is closed.
     pub segment_bytes: u64,
 }
 
 impl StoreLimits {
-    /// Bounds for a machine with so much memory.
+    /// Derives the limits from the memory of the machine.
     pub fn for_memory(memory_bytes: u64) -> Self {
-        let part = |part: f64| (memory_bytes as f64 * part) as usize;
+        let share = |fraction: f64| (memory_bytes as f64 * fraction) as usize;
         Self {
-            state_bytes: part(STATE_PART),
-            recent_bytes: part(RECENT_PART),
-            backlog_bytes: part(BACKLOG_PART),
+            state_bytes: share(STATE_FRACTION),
+            recent_bytes: share(RECENT_FRACTION),
+            backlog_bytes: share(BACKLOG_FRACTION),
             segment_bytes: DEFAULT_SEGMENT_BYTES,
         }
     }
 
-    /// The same with other segments.
+    /// Replaces the segment size.
     pub fn with_segment_bytes(self, segment_bytes: u64) -> Self {
         Self {
             segment_bytes,
@@ -55,9 +53,9 @@
         }
     }
 
-    /// Estimated bytes of the index beyond which no new turn begins.
+    /// Estimated size of the index above which no new turn is accepted.
     pub fn reservation_limit_bytes(&self) -> usize {
-        (self.state_bytes as f64 * RESERVE_PART) as usize
+        (self.state_bytes as f64 * RESERVATION_FRACTION) as usize
     }
 }
 
--- a/crates/stageyoke-store/src/load.rs
+++ b/crates/stageyoke-store/src/load.rs
@@ -1,6 +1,6 @@
-//! What fronts have under way at replicas, and which replicas failed them. It
-//! travels with the records that fronts send to stores anyway, and is a hint:
-//! placement uses it, nothing that must hold depends on it.
+//! Requests in flight at replicas and replicas that fail, as seen by all fronts. Reports
+//! travel with the records that fronts send to stores and are hints: placement uses them, but
+//! no guarantee depends on them.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -16,123 +16,125 @@
 use crate::rank_load::{RankReports, RankTracker};
 use crate::replica_latency::{LatencyStats, ReceivedSlowdowns, UnreportedLatencies};
 
-/// Replicas in one report.
+/// Maximum number of replicas in one report.
 pub const MAX_LOAD_ENTRIES: usize = 64;
-/// Suspected replicas in one report.
+/// Maximum number of suspected replicas in one report.
 pub const MAX_SUSPECTED_REPLICAS: usize = 32;
-/// A report counts for this long.
+/// Time for which reported load is used.
 pub const LOAD_REPORT_TTL: Duration = Duration::from_millis(500);
-/// What was heard of failing replicas counts for this long: a front that sends
-/// few records hears seldom, and a fault lasts longer than a moment's load.
+/// Time for which reported suspicions are used. Longer than for load: a front that sends few
+/// records receives few reports, and faults outlast load peaks.
 pub const SUSPICION_TTL: Duration = Duration::from_millis(1200);
 
-/// What a group's store told of the group's turns counts for this long: a turn's
-/// next tries go by it too.
-const PLACED_LIFE: Duration = Duration::from_millis(300);
-/// Turns under way that a store counts at most, some 50 bytes each.
-const MOST_PLACED: usize = 20_000;
-/// Time between two looks for turns that have lasted too long.
-const SWEEP_PAUSE: Duration = Duration::from_millis(200);
+/// Time for which a store's count of its group's placed turns is used; long enough for a
+/// turn's retries.
+const PLACEMENT_TTL: Duration = Duration::from_millis(300);
+/// Maximum number of turns in flight that a store counts, about 50 bytes each.
+const MAX_PLACED_TURNS: usize = 20_000;
+/// Interval between two removals of expired turns.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A front's own counts and what it last heard of all others.
+/// A front's own load and the load that stores report for all other fronts.
 #[derive(Debug)]
 pub struct LoadTracker {
     front: u32,
-    own: RefCell<HashMap<u32, u16>>,
+    local: RefCell<HashMap<u32, u16>>,
     suspects: RefCell<HashMap<u32, Instant>>,
-    others: RefCell<Heard>,
-    placed: RefCell<HashMap<GroupNumber, Placed>>,
-    untold_paces: UnreportedLatencies,
-    heard_paces: ReceivedSlowdowns,
-    /// Turns at engines by rank.
+    other_fronts: RefCell<OtherFrontsLoad>,
+    placements: RefCell<HashMap<GroupNumber, GroupPlacements>>,
+    unreported_latencies: UnreportedLatencies,
+    received_slowdowns: ReceivedSlowdowns,
+    /// Turns in flight at engines by rank.
     pub ranks: RankTracker,
-    /// How long engines take.
+    /// Latencies of engines.
     pub engines: EngineTracker,
 }
 
-/// A group's turns under way by replica, as one of its stores told.
+/// Turns of a group in flight by replica, as reported by one of its stores.
 #[derive(Debug)]
-struct Placed {
+struct GroupPlacements {
     counts: HashMap<u32, u16>,
-    at: Instant,
+    received_at: Instant,
 }
 
+/// Load and suspicions of all other fronts, as reported by a store.
 #[derive(Debug, Default)]
-struct Heard {
-    under_way: HashMap<u32, u16>,
+struct OtherFrontsLoad {
+    in_flight: HashMap<u32, u16>,
     suspecting: HashMap<u32, u16>,
-    at: Option<Instant>,
+    received_at: Option<Instant>,
 }
 
-impl Heard {
-    fn counts(&self, life: Duration) -> bool {
-        self.at.is_some_and(|at| at.elapsed() < life)
+impl OtherFrontsLoad {
+    fn is_fresh(&self, ttl: Duration) -> bool {
+        self.received_at.is_some_and(|at| at.elapsed() < ttl)
     }
 }
 
 impl LoadTracker {
-    /// An empty board of the front with this number.
+    /// Creates an empty tracker for the front with this number.
     pub fn new(front: u32) -> Self {
         Self {
             front,
-            own: RefCell::default(),
+            local: RefCell::default(),
             suspects: RefCell::default(),
-            others: RefCell::default(),
-            placed: RefCell::default(),
-            untold_paces: UnreportedLatencies::default(),
-            heard_paces: ReceivedSlowdowns::default(),
+            other_fronts: RefCell::default(),
+            placements: RefCell::default(),
+            unreported_latencies: UnreportedLatencies::default(),
+            received_slowdowns: ReceivedSlowdowns::default(),
             ranks: RankTracker::default(),
             engines: EngineTracker::default(),
         }
     }
 
-    /// The front's number in its reports.
+    /// Number that identifies the front in its reports.
     pub fn front(&self) -> u32 {
         self.front
     }
 
-    /// A plain answer of a replica took so many times as long as such answers do.
+    /// Records the ratio of a plain service's response time to the baseline latency.
     pub fn record_latency_ratio(&self, replica: u32, ratio: f64) {
-        self.untold_paces.record(replica, ratio);
+        self.unreported_latencies.record(replica, ratio);
     }
 
-    /// How many times as long as others a replica takes, by what all fronts see.
+    /// Slowdown of a replica of a plain service, as seen by all fronts; 1 if unknown.
     pub fn slowdown(&self, replica: u32) -> f64 {
-        self.heard_paces.slowdown(replica)
+        self.received_slowdowns.slowdown(replica)
     }
 
-    /// Counts a request as begun at a replica.
+    /// Counts a request as started at a replica.
     pub fn start_request(&self, replica: u32) {
-        *self.own.borrow_mut().entry(replica).or_default() += 1;
+        *self.local.borrow_mut().entry(replica).or_default() += 1;
     }
 
     /// Counts a request as ended at a replica.
     pub fn end_request(&self, replica: u32) {
-        count_down(&mut self.own.borrow_mut(), replica);
+        decrement(&mut self.local.borrow_mut(), replica);
     }
 
-    /// Reports a replica as failing for so long; not at all after no time.
-    pub fn suspect(&self, replica: u32, lasting: Duration) {
+    /// Reports a replica as failing for this duration. A duration of zero withdraws the
+    /// suspicion.
+    pub fn suspect(&self, replica: u32, duration: Duration) {
         let mut suspects = self.suspects.borrow_mut();
-        if lasting.is_zero() {
+        if duration.is_zero() {
             suspects.remove(&replica);
         } else {
-            suspects.insert(replica, Instant::now() + lasting);
+            suspects.insert(replica, Instant::now() + duration);
         }
     }
 
-    /// What this front tells a group.
+    /// Builds this front's next report for a group.
     pub fn report(&self, group: GroupNumber) -> LoadReport {
         let mut entries: Vec<LoadEntry> = self
-            .own
+            .local
             .borrow()
             .iter()
-            .map(|(replica, under_way)| LoadEntry {
+            .map(|(replica, in_flight)| LoadEntry {
                 replica: *replica,
-                in_flight: *under_way,
+                in_flight: *in_flight,
             })
             .collect();
-        keep_busiest(&mut entries);
+        truncate_to_busiest(&mut entries);
         let mut suspects = self.suspects.borrow_mut();
         suspects.retain(|_, until| *until > Instant::now());
         LoadReport {
@@ -143,66 +145,86 @@
                 .copied()
                 .take(MAX_SUSPECTED_REPLICAS)
                 .collect(),
-            latencies: self.untold_paces.take(group),
+            latencies: self.unreported_latencies.take(group),
         }
     }
 
-    /// Takes what a store of this group knows of all other fronts.
-    pub fn apply_report(&self, group: GroupNumber, others: OtherFrontsReport) {
-        self.heard_paces.apply_report(&others.slow_replicas);
-        let counts = others.placed_turns.iter();
+    /// Applies a report from a store of this group on all other fronts.
+    pub fn apply_report(&self, group: GroupNumber, other_fronts: OtherFrontsReport) {
+        self.received_slowdowns
+            .apply_report(&other_fronts.slow_replicas);
+        let counts = other_fronts.placed_turns.iter();
         let counts = counts.map(|entry| (entry.replica, entry.in_flight));
-        let placed = Placed {
+        let placed = GroupPlacements {
             counts: counts.collect(),
-            at: Instant::now(),
+            received_at: Instant::now(),
         };
-        self.placed.borrow_mut().insert(group, placed);
+        self.placements.borrow_mut().insert(group, placed);
         let load = |entry: LoadEntry| (entry.replica, entry.in_flight);
         let suspicion = |entry: Suspicion| (entry.replica, entry.fronts);
-        *self.others.borrow_mut() = Heard {
-            under_way: others.entries.into_iter().map(load).collect(),
-            suspecting: others.suspects.into_iter().map(suspicion).collect(),
-            at: Some(Instant::now()),
+        *self.other_fronts.borrow_mut() = OtherFrontsLoad {
+            in_flight: other_fronts.entries.into_iter().map(load).collect(),
+            suspecting: other_fronts.suspects.into_iter().map(suspicion).collect(),
+            received_at: Some(Instant::now()),
         };
     }
 
-    /// Other fronts that a replica failed of late, as far as known.
+    /// Number of other fronts that currently suspect a replica, as far as reported.
     pub fn suspecting_fronts(&self, replica: u32) -> u16 {
-        let others = self.others.borrow();
-        match others.counts(SUSPICION_TTL) {
-            true => others.suspecting.get(&replica).copied().unwrap_or_default(),
+        let other_fronts = self.other_fronts.borrow();
+        match other_fronts.is_fresh(SUSPICION_TTL) {
+            true => other_fronts
+                .suspecting
+                .get(&replica)
+                .copied()
+                .unwrap_or_default(),
             false => 0,
         }
     }
 
-    /// Turns of a group under way at a replica, if one of the group's stores has
-    /// told of them just now.
+    /// Turns of a group in flight at a replica; `None` without a recent report from one of
+    /// the group's stores.
     pub fn placed_turns(&self, group: GroupNumber, replica: u32) -> Option<u32> {
-        let placed = self.placed.borrow();
-        let heard = placed.get(&group)?;
-        let counts = heard.at.elapsed() < PLACED_LIFE;
-        counts.then(|| u32::from(heard.counts.get(&replica).copied().unwrap_or_default()))
+        let placed = self.placements.borrow();
+        let received = placed.get(&group)?;
+        let is_fresh = received.received_at.elapsed() < PLACEMENT_TTL;
+        is_fresh.then(|| u32::from(received.counts.get(&replica).copied().unwrap_or_default()))
     }
 
-    /// Requests of this front under way at a replica.
+    /// Requests of this front in flight at a replica.
     pub fn local_in_flight(&self, replica: u32) -> u32 {
-        u32::from(self.own.borrow().get(&replica).copied().unwrap_or_default())
+        u32::from(
+            self.local
+                .borrow()
+                .get(&replica)
+                .copied()
+                .unwrap_or_default(),
+        )
     }
 
-    /// Requests under way at a replica, as far as known.
+    /// Requests of all fronts in flight at a replica, as far as reported.
     pub fn in_flight(&self, replica: u32) -> u32 {
-        let own = self.own.borrow().get(&replica).copied().unwrap_or_default();
-        let others = self.others.borrow();
-        let others = match others.counts(LOAD_REPORT_TTL) {
-            true => others.under_way.get(&replica).copied().unwrap_or_default(),
+        let local = self
+            .local
+            .borrow()
+            .get(&replica)
+            .copied()
+            .unwrap_or_default();
+        let other_fronts = self.other_fronts.borrow();
+        let other_fronts = match other_fronts.is_fresh(LOAD_REPORT_TTL) {
+            true => other_fronts
+                .in_flight
+                .get(&replica)
+                .copied()
+                .unwrap_or_default(),
             false => 0,
         };
-        u32::from(own) + u32::from(others)
+        u32::from(local) + u32::from(other_fronts)
     }
 }
 
-/// Counts one less; what is not there any more leaves the map.
-pub(crate) fn count_down<K: Eq + Hash>(counts: &mut HashMap<K, u16>, key: K) {
+/// Decrements a count and removes it from the map at zero.
+pub(crate) fn decrement<K: Eq + Hash>(counts: &mut HashMap<K, u16>, key: K) {
     if let Some(count) = counts.get_mut(&key) {
         *count -= 1;
         if *count == 0 {
@@ -211,63 +233,60 @@
     }
 }
 
-/// A store's collection of reports.
+/// Load reports that a store has received from fronts.
 #[derive(Debug, Default)]
 pub struct LoadReports {
-    /// Turns at engines by rank.
+    /// Turns in flight at engines by rank.
     pub ranks: RankReports,
-    /// How long engines take.
+    /// Latencies of engines.
     pub engines: EngineReports,
     fronts: RefCell<HashMap<u32, (LoadReport, Instant)>>,
-    paces: RefCell<LatencyStats>,
+    latencies: RefCell<LatencyStats>,
 }
 
 impl LoadReports {
-    /// Takes a front's report in place of its former one.
+    /// Replaces a front's previous report.
     pub fn update(&self, report: LoadReport) {
-        self.paces.borrow_mut().add(&report.latencies);
-        let heard = (report, Instant::now());
-        self.fronts.borrow_mut().insert(heard.0.front, heard);
+        self.latencies.borrow_mut().add(&report.latencies);
+        let received = (report, Instant::now());
+        self.fronts.borrow_mut().insert(received.0.front, received);
     }
 
-    /// Fronts that have reported of late.
+    /// Number of fronts that have reported recently.
     pub fn reporting_fronts(&self) -> usize {
         self.fronts.borrow().len()
     }
 
-    /// What all fronts but one have seen, for the busiest replicas and those
-    /// that most fronts report as failing.
+    /// Merges the reports of all fronts except this one. Limited to the busiest replicas and
+    /// those that most fronts suspect.
     pub fn report_excluding(&self, front: u32) -> OtherFrontsReport {
         let mut fronts = self.fronts.borrow_mut();
-        fronts.retain(|_, (_, heard)| heard.elapsed() < SUSPICION_TTL);
-        let mut under_way: HashMap<u32, u16> = HashMap::new();
+        fronts.retain(|_, (_, received)| received.elapsed() < SUSPICION_TTL);
+        let mut in_flight: HashMap<u32, u16> = HashMap::new();
         let mut suspecting: HashMap<u32, u16> = HashMap::new();
-        let others = fronts.iter().filter(|(other, _)| **other != front);
-        for (report, heard) in others.map(|(_, reported)| reported) {
+        let other_fronts = fronts.iter().filter(|(other, _)| **other != front);
+        for (report, received) in other_fronts.map(|(_, reported)| reported) {
             for replica in report.suspects.iter() {
                 *suspecting.entry(*replica).or_default() += 1;
             }
-            if heard.elapsed() >= LOAD_REPORT_TTL {
+            if received.elapsed() >= LOAD_REPORT_TTL {
                 continue;
             }
             for entry in report.entries.iter() {
-                let sum = under_way.entry(entry.replica).or_default();
+                let sum = in_flight.entry(entry.replica).or_default();
                 *sum = sum.saturating_add(entry.in_flight);
             }
         }
-        let mut entries: Vec<LoadEntry> = under_way
+        let mut entries: Vec<LoadEntry> = in_flight
             .into_iter()
-            .map(|(replica, under_way)| LoadEntry {
-                replica,
-                in_flight: under_way,
-            })
+            .map(|(replica, in_flight)| LoadEntry { replica, in_flight })
             .collect();
-        keep_busiest(&mut entries);
+        truncate_to_busiest(&mut entries);
         OtherFrontsReport {
             entries: List(entries),
             suspects: most_suspected(suspecting),
             placed_turns: List::default(),
-            slow_replicas: self.paces.borrow_mut().slow_replicas(),
+            slow_replicas: self.latencies.borrow_mut().slow_replicas(),
         }
     }
 }
@@ -282,54 +301,55 @@
     List(suspects)
 }
 
-/// Messages stay small with thousands of replicas: only the busiest matter.
-fn keep_busiest(entries: &mut Vec<LoadEntry>) {
+/// Keeps reports small when there are thousands of replicas.
+fn truncate_to_busiest(entries: &mut Vec<LoadEntry>) {
     if entries.len() > MAX_LOAD_ENTRIES {
         entries.sort_by_key(|entry| std::cmp::Reverse(entry.in_flight));
         entries.truncate(MAX_LOAD_ENTRIES);
     }
 }
 
-/// A turn that runs at a replica.
+/// A turn in flight at a replica.
 #[derive(Clone, Copy, Debug)]
 struct RunningTurn {
     replica: u32,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// A store's count of its group's turns under way: from their reservations, which
-/// name the replica, to their ends.
+/// A store's count of its group's turns in flight, from the reservation, which names the
+/// replica, to the end of the turn.
 #[derive(Debug, Default)]
 pub struct PlacedTurns {
     turns: HashMap<u64, RunningTurn>,
     counts: HashMap<u32, u16>,
-    swept_at: Option<Instant>,
+    last_sweep_at: Option<Instant>,
 }
 
 impl PlacedTurns {
-    /// A turn is to run there; it may have been counted elsewhere before.
+    /// Counts a turn as in flight at a replica. Replaces the turn's previous placement, if
+    /// any.
     pub fn start(&mut self, turn: u64, placement: Placement) {
         self.end(turn);
-        if self.turns.len() >= MOST_PLACED {
+        if self.turns.len() >= MAX_PLACED_TURNS {
             return;
         }
-        let lasting = Duration::from_millis(u64::from(placement.max_duration_milliseconds));
+        let duration = Duration::from_millis(u64::from(placement.max_duration_milliseconds));
         let running = RunningTurn {
             replica: placement.replica,
-            until: Instant::now() + lasting,
+            expires_at: Instant::now() + duration,
         };
         self.turns.insert(turn, running);
         *self.counts.entry(placement.replica).or_default() += 1;
     }
 
-    /// A turn is over.
+    /// Counts a turn as ended.
     pub fn end(&mut self, turn: u64) {
         if let Some(running) = self.turns.remove(&turn) {
-            self.count_down(running.replica);
+            self.decrement(running.replica);
         }
     }
 
-    fn count_down(&mut self, replica: u32) {
+    fn decrement(&mut self, replica: u32) {
         if let Some(count) = self.counts.get_mut(&replica) {
             *count -= 1;
             if *count == 0 {
@@ -338,40 +358,43 @@
         }
     }
 
-    /// Turns that run now, without this one, by replica.
+    /// Turns in flight by replica, except this turn.
     pub fn counts_excluding(&mut self, turn: u64) -> List<LoadEntry> {
-        self.sweep();
-        let own = self.turns.get(&turn).map(|running| running.replica);
+        self.remove_expired();
+        let excluded = self.turns.get(&turn).map(|running| running.replica);
         let entries = self.counts.iter().map(|(replica, count)| LoadEntry {
             replica: *replica,
-            in_flight: count - u16::from(own == Some(*replica)),
+            in_flight: count - u16::from(excluded == Some(*replica)),
         });
         entries.filter(|entry| entry.in_flight > 0).collect()
     }
 
-    /// Turns that are counted.
+    /// Number of counted turns.
     pub fn len(&self) -> usize {
         self.turns.len()
     }
 
-    /// Whether none is.
+    /// Returns true if no turn is counted.
     pub fn is_empty(&self) -> bool {
         self.turns.is_empty()
     }
 
-    /// Forgets turns whose front has gone without a word.
-    fn sweep(&mut self) {
+    /// Removes expired turns, whose fronts never reported an end.
+    fn remove_expired(&mut self) {
         let now = Instant::now();
-        if self.swept_at.is_some_and(|at| now < at + SWEEP_PAUSE) {
+        if self
+            .last_sweep_at
+            .is_some_and(|at| now < at + SWEEP_INTERVAL)
+        {
             return;
         }
-        self.swept_at = Some(now);
-        let over = self
+        self.last_sweep_at = Some(now);
+        let expired = self
             .turns
             .iter()
-            .filter(|(_, running)| running.until <= now);
-        let over: Vec<u64> = over.map(|(turn, _)| *turn).collect();
-        for turn in over {
+            .filter(|(_, running)| running.expires_at <= now);
+        let expired: Vec<u64> = expired.map(|(turn, _)| *turn).collect();
+        for turn in expired {
             self.end(turn);
         }
     }
--- a/crates/stageyoke-store/src/membership.rs
+++ b/crates/stageyoke-store/src/membership.rs
@@ -1,13 +1,14 @@
-//! Decides a member's next step in the list of its group. Pure: the caller makes
-//! the change under the condition that the list has not moved meanwhile.
+//! Decides a store's next step in the member list of its group. Pure: the caller writes the
+//! change on condition that the list is unchanged.
 //!
-//! A change is joint: from its proposal on records need a quorum of the members
-//! before and of those from now on. It is settled once it is *fenced* (so many
-//! complete members before go by it, and refuse whoever goes by an older list,
-//! that no older quorum can be reached), and a write quorum of the new members
-//! holds all that these held then (`docs/GROUPS.md` has the argument). Any
-//! member may be replaced so, as soon as a successor has filled up; what can be
-//! lost is borne again from then on.
+//! A change passes through a joint configuration, in which records need a quorum of the old
+//! members and one of the new members. It is settled once
+//! - the old configuration is *fenced*: so many complete old members use the joint list, and
+//!   reject callers with an older one, that no older quorum can be reached, and
+//! - a write quorum of the new members holds everything that the fenced members held.
+//!
+//! See `docs/GROUPS.md` for the argument. Any member can be replaced in this way once its
+//! successor has caught up; from then on the group tolerates further losses.
 
 use std::time::Duration;
 
@@ -17,46 +18,45 @@
 use crate::message::JournalPosition;
 use crate::wait_reason::WaitReason;
 
-/// A member that nobody hears for this long leaves the list if no successor has
-/// taken its place: those that are left can be healed with fewer of them alive.
+/// Time after which an unresponsive member without a successor is removed: a smaller list
+/// needs fewer live members to recover.
 pub const SILENT_REMOVAL_TIMEOUT: Duration = Duration::from_secs(6);
-/// How long the list must have stood before a member too many leaves: whoever
-/// was away may be so again.
+/// Minimum age of the member list before a surplus member leaves: a member that was away
+/// recently may fail again.
 pub const SURPLUS_LEAVE_DELAY: Duration = Duration::from_secs(10);
-/// The first living member of the list makes the next step; the others after
-/// this time, if it has not. Saves proposals that lose against one another.
+/// Delay after which the other members make a step that the first live member of the list has
+/// not made. Avoids conflicting proposals.
 pub const STEP_TAKEOVER_DELAY: Duration = Duration::from_secs(1);
 
-/// This store, as it should stand in the list.
+/// State of the local store that its next step depends on.
 #[derive(Clone, Debug)]
 pub struct LocalMember {
-    /// Its entry as an active member.
+    /// Entry of the store as an active member.
     pub entry: Member,
-    /// Whether the disk holds everything that it acknowledged, or, for a new
-    /// store, everything that the group holds.
+    /// True if the disk holds everything that the store has acknowledged or, for a new store,
+    /// everything that the group holds.
     pub complete: bool,
-    /// Whether this life of the process has caught up with the group.
+    /// True if this process has caught up with the group since its start.
     pub caught_up: bool,
-    /// Whether the operator wants this store emptied.
+    /// True if the operator retires this store.
     pub retiring: bool,
-    /// Whether it is a member too many, and should become a spare.
+    /// True if the group has more members than it needs and this one should become a spare.
     pub surplus: bool,
-    /// Whether the group takes one more member.
+    /// True if the group accepts another member.
     pub has_room: bool,
-    /// Whether a store that is no member compares with this one: it is about to take a
-    /// place.
+    /// True if a spare compares its records with this store: it is about to replace a member.
     pub successor_pending: bool,
-    /// Whether this store holds what the fence of the change under way held.
+    /// True if this store holds everything that the fenced members of the pending change
+    /// held.
     pub fenced: bool,
-    /// How long the current list has been in use here.
+    /// Time since this store received the current member list.
     pub member_list_age: Duration,
-    /// A member that is silent for so long may be replaced.
+    /// Time after which an unresponsive member may be replaced.
     pub replacement_timeout: Duration,
 }
 
-/// Where a store's journal ended when it was first seen to hold all that must
-/// last under a version of the member list. A peer that holds the journal up to
-/// there holds all of it.
+/// End of this store's journal when it first held everything that must survive the change to
+/// a member list. A peer that has read the journal up to this position holds all of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FencedJournalEnd {
     members_version: u64,
@@ -64,8 +64,8 @@
 }
 
 impl FencedJournalEnd {
-    /// The end that was known, if it is this list's; else the journal's end
-    /// now, provided that this store is fenced.
+    /// Returns the known end if it belongs to this member list, otherwise the current end of
+    /// the journal if this store is fenced.
     pub fn for_members(
         members: &Members,
         known: Option<Self>,
@@ -82,231 +82,234 @@
         })
     }
 
-    /// Whether a peer that holds the journal up to there holds all of it.
+    /// Checks whether a peer that has read the journal up to `held` holds everything that
+    /// must survive.
     pub fn is_covered_by(&self, held: JournalPosition) -> bool {
         held.journal == self.end.journal && held.next >= self.end.next
     }
 }
 
-/// Whether no older list can be used any more: this store holds what so many
-/// members held, complete, when they went by the current list already, that every
-/// quorum before is met.
+/// Checks whether older member lists are out of use: this store is in sync with enough
+/// complete members of the current list to intersect every older quorum.
 pub fn is_fenced(
     members: &Members,
     tolerance: &Tolerance,
-    in_step: impl Fn(&Member) -> bool,
+    is_in_sync: impl Fn(&Member) -> bool,
 ) -> bool {
-    members.intersects_every_quorum(tolerance, in_step)
+    members.intersects_every_quorum(tolerance, is_in_sync)
 }
 
-/// Whether so many members have been caught up with that no kept record can
-/// stand only elsewhere.
+/// Checks whether this store has caught up with enough members to hold every durable record.
 pub fn is_caught_up_with_group(
     members: &Members,
     tolerance: &Tolerance,
-    caught_up_with: impl Fn(&str) -> bool,
+    is_caught_up_with: impl Fn(&str) -> bool,
 ) -> bool {
-    members.intersects_every_quorum(tolerance, |member| caught_up_with(&member.node))
+    members.intersects_every_quorum(tolerance, |member| is_caught_up_with(&member.node))
 }
 
-/// What this store knows of a peer.
+/// Liveness and progress of a peer, as this store sees it.
 #[derive(Clone, Debug)]
 pub struct PeerHealth {
     /// Machine name.
     pub node: Text,
-    /// How long it has not answered.
+    /// Time since the peer's last answer.
     pub silent_for: Duration,
-    /// Whether this store holds what the fence held, and the peer holds all of
-    /// that.
+    /// True if this store holds everything that the fenced members held, and the peer has all
+    /// of it.
     pub caught_up: bool,
 }
 
-/// A step.
+/// Next action of a store regarding the member list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipStep {
-    /// Nothing to do before this.
+    /// No action for now, for this reason.
     Wait(WaitReason),
-    /// Put this list in place of the current one.
+    /// Replace the current member list by this one.
     Change(Members),
-    /// Begin to leave: a retirement, if there is one, is under way.
+    /// Replace the member list by one without this store. A pending retirement starts with
+    /// it.
     StartLeaving(Members),
 }
 
-/// Whether no record can have been kept by anybody: a group too small for a
-/// write quorum has never had one, since no list shrinks below it. Every disk is
-/// complete then, whatever became of it.
+/// Checks whether no record can have been stored yet: a group too small for a write quorum
+/// has never had one, because no list shrinks below it. Any disk is then complete, even a
+/// replaced one.
 pub fn has_never_stored(members: &Members, tolerance: &Tolerance) -> bool {
     members.quorums(tolerance).is_none()
 }
 
-/// The next step.
+/// Decides the next step of the local store.
 pub fn decide(
     members: &Members,
-    oneself: &LocalMember,
+    local: &LocalMember,
     peers: &[PeerHealth],
     tolerance: &Tolerance,
 ) -> MembershipStep {
-    let view = View {
+    let input = StepInput {
         members,
-        oneself,
+        local,
         peers,
         tolerance,
     };
-    match members.get(&oneself.entry.node) {
-        None => view.join(),
-        Some(current) if *current != oneself.entry => {
-            MembershipStep::Change(members.with_member(oneself.entry.clone()))
+    match members.get(&local.entry.node) {
+        None => input.join(),
+        Some(current) if *current != local.entry => {
+            MembershipStep::Change(members.with_member(local.entry.clone()))
         }
-        Some(_) if members.is_settled() => view.begin(),
-        Some(_) => view.conclude(),
+        Some(_) if members.is_settled() => input.start_change(),
+        Some(_) => input.finish_change(),
     }
 }
 
-/// What a step is decided by.
-struct View<'a> {
+/// Input of a decision.
+struct StepInput<'a> {
     members: &'a Members,
-    oneself: &'a LocalMember,
+    local: &'a LocalMember,
     peers: &'a [PeerHealth],
     tolerance: &'a Tolerance,
 }
 
-impl View<'_> {
-    /// A store that is no member takes the place of one that is silent, or one
-    /// more where there is room.
+impl StepInput<'_> {
+    /// Decides for a store that is not a member: it replaces an unresponsive member, or joins
+    /// if the group accepts another one.
     fn join(&self) -> MembershipStep {
-        let (members, oneself) = (self.members, self.oneself);
-        if oneself.retiring {
+        let (members, local) = (self.members, self.local);
+        if local.retiring {
             return MembershipStep::Wait(WaitReason::Nothing);
         }
-        if !oneself.complete {
+        if !local.complete {
             return MembershipStep::Wait(WaitReason::Completeness);
         }
-        let entry = oneself.entry.clone();
+        let entry = local.entry.clone();
         if has_never_stored(members, self.tolerance) {
             return MembershipStep::Change(members.with_member(entry));
         }
-        if !oneself.caught_up {
+        if !local.caught_up {
             return MembershipStep::Wait(WaitReason::CatchUp);
         }
-        if let Some(silent) = self.longest_silent(&members.list, oneself.replacement_timeout) {
+        if let Some(silent) = self.longest_silent(&members.list, local.replacement_timeout) {
             let list = members.list_replacing(&silent, entry);
-            return self.change_if_it_keeps(list);
+            return self.change_if_quorum_exists(list);
         }
-        // While a change is under way a new one waits, unless it replaces somebody.
+        // A pending change blocks additions, but not replacements.
         if !members.is_settled() {
             return MembershipStep::Wait(WaitReason::Settling);
         }
-        if !oneself.has_room {
+        if !local.has_room {
             return MembershipStep::Wait(WaitReason::Room);
         }
-        // One more beside a member that is lost would count it for the quorums: whoever has
-        // not answered for a while is heard or replaced first.
+        // An additional member next to a lost one would raise the quorum sizes: the
+        // unresponsive member has to answer or be replaced first.
         if self
-            .longest_silent(&members.list, oneself.replacement_timeout / 2)
+            .longest_silent(&members.list, local.replacement_timeout / 2)
             .is_some()
         {
             return MembershipStep::Wait(WaitReason::Successor);
         }
         let mut list = members.list.clone();
         list.push(entry);
-        self.change_if_it_keeps(list)
+        self.change_if_quorum_exists(list)
     }
 
-    /// Changes to a list that has a write quorum: with many members in one zone that may
-    /// be lost there is none, and a list without one counts as one that has never kept
-    /// anything.
-    fn change_if_it_keeps(&self, list: List<Member>) -> MembershipStep {
+    /// Changes to a list only if it has a write quorum. Too many members in one zone that may
+    /// be lost leave it without one, and such a list would count as one that has never stored
+    /// a record.
+    fn change_if_quorum_exists(&self, list: List<Member>) -> MembershipStep {
         match write_quorum(&list, self.tolerance) {
             Some(_) => MembershipStep::Change(self.members.start_change(list)),
             None => MembershipStep::Wait(WaitReason::Room),
         }
     }
 
-    /// What a member does while no change is under way.
-    fn begin(&self) -> MembershipStep {
-        let oneself = self.oneself;
-        let too_many = oneself.surplus && oneself.member_list_age >= SURPLUS_LEAVE_DELAY;
-        if oneself.retiring || too_many {
+    /// Decides for a member while no change is pending.
+    fn start_change(&self) -> MembershipStep {
+        let local = self.local;
+        let is_surplus = local.surplus && local.member_list_age >= SURPLUS_LEAVE_DELAY;
+        if local.retiring || is_surplus {
             return self.leave();
         }
-        if !oneself.complete {
+        if !local.complete {
             return MembershipStep::Wait(WaitReason::Completeness);
         }
-        if self.all_there() {
+        if self.all_members_respond() {
             return MembershipStep::Wait(WaitReason::Nothing);
         }
-        // A removal just before a successor comes makes it begin anew.
-        if oneself.successor_pending {
+        // A removal just before the replacement would make the successor start over.
+        if local.successor_pending {
             return MembershipStep::Wait(WaitReason::Successor);
         }
         let removable = self.longest_silent(&self.members.list, SILENT_REMOVAL_TIMEOUT);
         let list = removable.map(|silent| self.members.list_without(&silent));
-        match list.filter(|list| self.serves(list, SILENT_REMOVAL_TIMEOUT)) {
-            Some(_) if !self.acts_first() => MembershipStep::Wait(WaitReason::FirstMember),
+        match list.filter(|list| self.has_live_quorum(list, SILENT_REMOVAL_TIMEOUT)) {
+            Some(_) if !self.is_first_to_act() => MembershipStep::Wait(WaitReason::FirstMember),
             Some(list) => MembershipStep::Change(self.members.start_change(list)),
             None => MembershipStep::Wait(WaitReason::Successor),
         }
     }
 
-    fn all_there(&self) -> bool {
-        let silent = self.longest_silent(&self.members.list, self.oneself.replacement_timeout);
+    fn all_members_respond(&self) -> bool {
+        let silent = self.longest_silent(&self.members.list, self.local.replacement_timeout);
         silent.is_none()
     }
 
-    /// Leaves the list, if the others can serve without it.
+    /// Leaves the list if the remaining members have a live write quorum.
     fn leave(&self) -> MembershipStep {
-        let list = self.members.list_without(&self.oneself.entry.node);
-        match self.serves(&list, self.oneself.replacement_timeout) {
+        let list = self.members.list_without(&self.local.entry.node);
+        match self.has_live_quorum(&list, self.local.replacement_timeout) {
             true => MembershipStep::StartLeaving(self.members.start_change(list)),
             false => MembershipStep::Wait(WaitReason::OthersToServe),
         }
     }
 
-    /// Settles the change under way, or gives it up where those from now on can't
-    /// serve and those before can.
-    fn conclude(&self) -> MembershipStep {
-        let (members, oneself) = (self.members, self.oneself);
-        if !self.acts_first() {
+    /// Settles the pending change. Rolls it back if the new members have no live write quorum
+    /// and the old ones do.
+    fn finish_change(&self) -> MembershipStep {
+        let (members, local) = (self.members, self.local);
+        if !self.is_first_to_act() {
             return MembershipStep::Wait(WaitReason::FirstMember);
         }
-        let Some(missing) = self.missing_to_settle() else {
+        let Some(blocker) = self.settle_blocker() else {
             return MembershipStep::Change(members.settle_change());
         };
-        let within = oneself.replacement_timeout;
-        if !self.serves(&members.list, within) && self.serves(&members.before, within) {
+        let silence = local.replacement_timeout;
+        if !self.has_live_quorum(&members.list, silence)
+            && self.has_live_quorum(&members.before, silence)
+        {
             return MembershipStep::Change(members.abandon_change());
         }
-        MembershipStep::Wait(missing)
+        MembershipStep::Wait(blocker)
     }
 
-    /// What the change under way lacks to be settled.
-    fn missing_to_settle(&self) -> Option<WaitReason> {
-        if !self.oneself.complete {
+    /// Returns what the pending change still needs before it can be settled.
+    fn settle_blocker(&self) -> Option<WaitReason> {
+        if !self.local.complete {
             return Some(WaitReason::Completeness);
         }
-        if !self.oneself.fenced {
+        if !self.local.fenced {
             return Some(WaitReason::Fence);
         }
-        (!self.holders_suffice()).then_some(WaitReason::Holders)
+        (!self.has_holder_quorum()).then_some(WaitReason::Holders)
     }
 
-    /// Whether a write quorum of the new members holds all that the fence held.
-    fn holders_suffice(&self) -> bool {
+    /// Checks whether a write quorum of the new members holds everything that the fenced
+    /// members held.
+    fn has_holder_quorum(&self) -> bool {
         let holds = |member: &&Member| match self.peer(&member.node) {
             Some(peer) => peer.caught_up,
-            None => member.node == self.oneself.entry.node,
+            None => member.node == self.local.entry.node,
         };
         let holders = self.members.list.iter().filter(holds).count();
         let needed = self.members.write_quorum(self.tolerance);
         needed.is_some_and(|needed| needed <= holders)
     }
 
-    /// Whether these members are enough for a write quorum, without those that
-    /// are silent for longer than that.
-    fn serves(&self, list: &List<Member>, silence: Duration) -> bool {
-        let living = |member: &&Member| !self.silent(&member.node, silence);
-        let living = list.iter().filter(living).count();
-        write_quorum(list, self.tolerance).is_some_and(|needed| needed <= living)
+    /// Checks whether the members that have answered within `silence` form a write quorum of
+    /// the list.
+    fn has_live_quorum(&self, list: &List<Member>, silence: Duration) -> bool {
+        let live = |member: &&Member| !self.is_silent(&member.node, silence);
+        let live = list.iter().filter(live).count();
+        write_quorum(list, self.tolerance).is_some_and(|needed| needed <= live)
     }
 
     fn longest_silent(&self, list: &List<Member>, silence: Duration) -> Option<Text> {
@@ -317,7 +320,7 @@
         longest.map(|peer| peer.node.clone())
     }
 
-    fn silent(&self, node: &str, silence: Duration) -> bool {
+    fn is_silent(&self, node: &str, silence: Duration) -> bool {
         let peer = self.peer(node);
         peer.is_some_and(|peer| peer.silent_for > silence)
     }
@@ -326,13 +329,13 @@
         self.peers.iter().find(|peer| peer.node.as_str() == node)
     }
 
-    /// Whether this store makes the step now: it is the first of the list that is
-    /// not silent, or the first has had its time.
-    fn acts_first(&self) -> bool {
-        let oneself = self.oneself;
-        let living = |member: &&Member| !self.silent(&member.node, oneself.replacement_timeout);
-        let first = self.members.list.iter().find(living);
-        first.is_none_or(|first| first.node == oneself.entry.node)
-            || oneself.member_list_age >= STEP_TAKEOVER_DELAY
+    /// Checks whether this store makes the step: it is the first live member of the list, or
+    /// the takeover delay has passed.
+    fn is_first_to_act(&self) -> bool {
+        let local = self.local;
+        let live = |member: &&Member| !self.is_silent(&member.node, local.replacement_timeout);
+        let first = self.members.list.iter().find(live);
+        first.is_none_or(|first| first.node == local.entry.node)
+            || local.member_list_age >= STEP_TAKEOVER_DELAY
     }
 }
--- a/crates/stageyoke-store/src/membership_state.rs
+++ b/crates/stageyoke-store/src/membership_state.rs
@@ -1,5 +1,5 @@
-//! Where a store stands: the groups as it knows them, the group that it serves
-//! or fills up for, and for which group its disk is complete. Pure.
+//! Membership of the local store: the known store groups, the group that it belongs to or
+//! backfills for, and the group for which its disk is complete. Pure.
 
 use std::rc::Rc;
 
@@ -9,16 +9,16 @@
 use crate::completeness::Completeness;
 use crate::message::{Refusal, Reply};
 
-/// How a store stands as a member of a group, as another store sees it.
+/// Membership of a store as reported to a peer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerStatus {
-    /// Whether it vouches for what it misses.
+    /// True if the store is authoritative for the records that it lacks.
     pub complete: bool,
-    /// The version of the member list that it goes by.
+    /// Version of the member list that the store uses.
     pub members_version: u64,
 }
 
-/// One store's standing.
+/// Membership of the local store.
 #[derive(Clone, Debug)]
 pub struct MembershipState {
     node: Text,
@@ -28,7 +28,7 @@
 }
 
 impl MembershipState {
-    /// Of the store on this machine, by what its disk tells.
+    /// Creates the state from what the disk holds at the start.
     pub fn new(node: Text, stores: StoreGroups, completeness: Completeness) -> Self {
         Self {
             group: stores.group_of_node(&node),
@@ -38,28 +38,28 @@
         }
     }
 
-    /// The store groups that it goes by.
+    /// Store groups in use.
     pub fn stores(&self) -> Rc<StoreGroups> {
         self.stores.clone()
     }
 
-    /// The group that it is a member of, or fills up for.
+    /// Group that this store belongs to or backfills for.
     pub fn group(&self) -> Option<GroupNumber> {
         self.group
     }
 
-    /// The member list of that group; empty where there is none.
+    /// Member list of that group; empty if there is none.
     pub fn members(&self) -> Members {
         let members = self.group.and_then(|group| self.stores.group(group));
         members.cloned().unwrap_or_default()
     }
 
-    fn entry_in(&self, group: GroupNumber) -> Option<&Member> {
+    fn own_entry(&self, group: GroupNumber) -> Option<&Member> {
         self.stores.group(group)?.get(&self.node)
     }
 
-    /// Whether the disk holds everything that the store ever acknowledged as a
-    /// member of its group; before there are groups, of any.
+    /// Checks whether the disk holds everything that the store has acknowledged as a member
+    /// of its group or, before groups exist, of any group.
     pub fn is_complete(&self) -> bool {
         match self.group {
             Some(group) => self.is_complete_for(group),
@@ -67,23 +67,24 @@
         }
     }
 
-    /// The same for one group.
+    /// Checks whether the disk holds everything that the store has acknowledged as a member
+    /// of this group.
     pub fn is_complete_for(&self, group: GroupNumber) -> bool {
         self.completeness
             .is_complete_for(group, &self.node, &self.stores)
     }
 
-    /// Whether the store vouches for what its disk misses, to one who goes by
-    /// this version of the group's member list: a complete member, by a list
-    /// that is not older than its own. An older one may name stores that have
-    /// been removed since and don't know it.
+    /// Checks whether this store is authoritative for the records that it lacks, towards a
+    /// caller with this version of the member list. It must be a complete member, and the
+    /// caller's list must not be older than its own: an older list may name removed stores
+    /// that have not learned of their removal.
     pub fn is_authoritative_for(&self, group: GroupNumber, members_version: u64) -> bool {
         self.is_complete_for(group)
-            && self.entry_in(group).is_some()
-            && !self.stale(group, members_version)
+            && self.own_entry(group).is_some()
+            && !self.is_stale(group, members_version)
     }
 
-    /// What another store that goes by this version is told.
+    /// Returns the status to report to a peer with this version of the member list.
     pub fn peer_status(&self, group: GroupNumber, members_version: u64) -> PeerStatus {
         PeerStatus {
             complete: self.is_authoritative_for(group, members_version),
@@ -96,21 +97,21 @@
         members.map_or(0, |members| members.version)
     }
 
-    /// Whether a caller's list is older than this store's. Once so many members
-    /// know of a change that every older quorum is met, nothing is kept or told as
-    /// absent by an older list: that is what the next list waits for
-    /// (`membership`).
-    fn stale(&self, group: GroupNumber, members_version: u64) -> bool {
+    /// Checks whether a caller's member list is older than this store's. Once enough members
+    /// know of a change to intersect every older quorum, no record is stored or reported as
+    /// absent under an older list; the next change waits for this (see `membership`).
+    fn is_stale(&self, group: GroupNumber, members_version: u64) -> bool {
         members_version < self.version_of(group)
     }
 
-    /// Whether a caller goes by a newer list of this store's group than the store.
+    /// Checks whether a caller uses a newer member list of this store's group than the store
+    /// itself.
     pub fn is_lagging(&self, group: GroupNumber, members_version: u64) -> bool {
         self.group == Some(group) && members_version > self.version_of(group)
     }
 
-    /// Declares the disk complete for the store's group; returns the mark that
-    /// the disk needs if it has another.
+    /// Declares the disk complete for the store's group. Returns the marker to write to the
+    /// disk if it changes.
     pub fn declare_complete(&mut self) -> Option<Completeness> {
         let completeness = match self.group {
             Some(group) => Completeness::Of(group),
@@ -120,8 +121,8 @@
         (before != completeness).then_some(completeness)
     }
 
-    /// Names the group in the mark of a disk that has been there since the
-    /// formation, once it is known: the store may leave that group later.
+    /// Replaces the marker of a disk that dates from before the formation by one that names
+    /// the group, once the group is known: the store may leave the group later.
     pub fn resolve_completeness(&mut self) -> Option<Completeness> {
         let since_formation = self.completeness == Completeness::SinceFormation;
         match since_formation && self.group.is_some() && self.is_complete() {
@@ -130,35 +131,37 @@
         }
     }
 
-    /// Takes newer store groups; false if they are not newer. A member of a
-    /// group serves that one.
+    /// Applies store groups if they are newer and returns whether they were. A store that is
+    /// a member of a group serves that group.
     pub fn update_stores(&mut self, stores: Rc<StoreGroups>) -> bool {
         if stores.version <= self.stores.version {
             return false;
         }
-        let own = stores.group_of_node(&self.node);
+        let own_group = stores.group_of_node(&self.node);
         self.stores = stores;
-        if own.is_some() {
-            self.group = own;
+        if own_group.is_some() {
+            self.group = own_group;
         }
         true
     }
 
-    /// A store that is a member of no group fills up for this one.
+    /// Selects the group that this store backfills for, unless it is a member of one.
     pub fn backfill_for(&mut self, group: Option<GroupNumber>) {
         if self.stores.group_of_node(&self.node).is_none() {
             self.group = group;
         }
     }
 
-    /// Why a caller with this version of a group's member list gets no record
-    /// kept.
+    /// Returns the reply that rejects a record from a caller with this version of the member
+    /// list; `None` if the record is accepted.
     pub fn refusal(&self, group: GroupNumber, members_version: u64) -> Option<Reply> {
-        let own = self.entry_in(group);
-        let elsewhere = own.is_none() && self.stores.is_formed();
-        if elsewhere || self.stale(group, members_version) {
+        let local_entry = self.own_entry(group);
+        let not_in_group = local_entry.is_none() && self.stores.is_formed();
+        if not_in_group || self.is_stale(group, members_version) {
             return Some(Reply::StaleMembers((*self.stores).clone()));
         }
-        own.is_none().then_some(Reply::Refused(Refusal::NotAMember))
+        local_entry
+            .is_none()
+            .then_some(Reply::Refused(Refusal::NotAMember))
     }
 }
--- a/crates/stageyoke-store/src/peer_sync.rs
+++ b/crates/stageyoke-store/src/peer_sync.rs
@@ -1,6 +1,6 @@
-//! Keeps a store's records equal to those of its peers: digests are compared
-//! and what is missing is fetched, at once while the store is incomplete, else
-//! only what is still missing one round later.
+//! Synchronizes a store's records with its peers: compares digests and fetches missing
+//! records. An incomplete store fetches them at once, a complete one only if they are still
+//! missing a round later.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -19,72 +19,74 @@
 use crate::message::{RecordDigest, Reply, Request, SilentPeer};
 use stageyoke_observe as observe;
 
-/// Pause between rounds with a peer.
+/// Interval between comparisons with a peer.
 pub const COMPARISON_INTERVAL: Duration = Duration::from_millis(1000);
-const CATCH_UP_PAUSE: Duration = Duration::from_millis(100);
+const CATCH_UP_INTERVAL: Duration = Duration::from_millis(100);
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
-const FETCH_PAGE: usize = 256;
-/// How long what a peer told of other members' silence counts: a round and a bit.
-const TOLD_FOR: Duration = Duration::from_millis(1500);
+const FETCH_PAGE_RECORDS: usize = 256;
+/// Time for which a peer's report on unresponsive members is used: slightly more than a
+/// round.
+const SILENCE_REPORT_TTL: Duration = Duration::from_millis(1500);
 
-/// What is known of one peer.
+/// Connection to a peer, with its synchronization state.
 pub struct Peer {
     client: StoreClient,
-    exchange: RefCell<JournalSync>,
+    journal_sync: RefCell<JournalSync>,
     last_answer: Cell<Option<Instant>>,
-    /// Members that did not answer it when it answered last.
+    /// Members that did not answer the peer, as of its latest answer.
     silent: RefCell<List<SilentPeer>>,
     since: Instant,
 }
 
 impl Peer {
-    fn answered_just_now(&self) -> bool {
+    fn answered_recently(&self) -> bool {
         let at = self.last_answer.get();
-        at.is_some_and(|at| at.elapsed() < TOLD_FOR)
+        at.is_some_and(|at| at.elapsed() < SILENCE_REPORT_TTL)
     }
 
-    fn tells_silence_of(&self, node: &str) -> Duration {
+    fn reported_silence_of(&self, node: &str) -> Duration {
         let silent = self.silent.borrow();
         let mut silent = silent.iter();
-        let told = silent.find(|silent| silent.node.as_str() == node);
-        told.map_or(Duration::ZERO, |told| {
-            Duration::from_millis(u64::from(told.milliseconds))
+        let report = silent.find(|silent| silent.node.as_str() == node);
+        report.map_or(Duration::ZERO, |report| {
+            Duration::from_millis(u64::from(report.milliseconds))
         })
     }
 }
 
-/// All peers of this store.
+/// Peers of this store.
 pub struct Peers {
     local_store: Rc<LocalStore>,
     tolerance: Tolerance,
     peers: RefCell<HashMap<Text, Rc<Peer>>>,
-    /// Version of the list that was followed last.
-    followed: Cell<u64>,
+    /// Version of the member list in use.
+    followed_version: Cell<u64>,
     group: Cell<Option<GroupNumber>>,
-    list_changed: Notify,
+    member_list_changed: Notify,
 }
 
 impl Peers {
-    /// No peers yet.
+    /// Creates an empty set of peers.
     pub fn new(local_store: Rc<LocalStore>, tolerance: Tolerance) -> Self {
         Self {
             local_store,
             tolerance,
             peers: RefCell::default(),
-            followed: Cell::new(0),
+            followed_version: Cell::new(0),
             group: Cell::new(None),
-            list_changed: Notify::new(),
+            member_list_changed: Notify::new(),
         }
     }
 
-    /// Follows the member list: new peers are compared with, gone ones dropped.
+    /// Applies a member list: starts to compare records with new peers and drops removed
+    /// ones.
     pub fn update_members(self: &Rc<Self>, members: &Members) {
-        if self.followed.replace(members.version) != members.version {
-            self.list_changed.notify_waiters();
+        if self.followed_version.replace(members.version) != members.version {
+            self.member_list_changed.notify_waiters();
         }
         let group = self.local_store.group();
         if self.group.replace(group) != group {
-            // Versions of another group's list say nothing of this one's.
+            // Versions of another group's member list are not comparable.
             self.peers.borrow_mut().clear();
         }
         let mut peers = self.peers.borrow_mut();
@@ -99,90 +101,98 @@
             }
             let peer = Rc::new(Peer {
                 client: StoreClient::new(&member.address),
-                exchange: RefCell::default(),
+                journal_sync: RefCell::default(),
                 last_answer: Cell::new(None),
                 silent: RefCell::default(),
                 since: Instant::now(),
             });
             peers.insert(member.node.clone(), peer.clone());
             let weak = Rc::downgrade(&peer);
-            let group = self.clone();
+            let all_peers = self.clone();
             drop(peer);
             tokio::task::spawn_local(async move {
                 while let Some(peer) = weak.upgrade() {
-                    let pause = group.round(&peer).await;
+                    let delay = all_peers.run_round(&peer).await;
                     drop(peer);
-                    // A change of the list waits for comparisons by the new one.
-                    let _ = tokio::time::timeout(pause, group.list_changed.notified()).await;
+                    // Starts the next round early after a change of the member list, which
+                    // waits for comparisons under the new list.
+                    let _ =
+                        tokio::time::timeout(delay, all_peers.member_list_changed.notified()).await;
                 }
             });
         }
     }
 
-    /// How long this peer has not answered.
+    /// Time since this peer's last answer.
     pub fn silent_for(&self, node: &str) -> Option<Duration> {
         let peers = self.peers.borrow();
         let peer = peers.get(node)?;
         Some(peer.last_answer.get().unwrap_or(peer.since).elapsed())
     }
 
-    /// How long the member on this machine has not answered any of the peers that
-    /// answer this store; `None` if none has told of it just now.
+    /// Time for which the member on this machine has not answered the peers of this store;
+    /// `None` without a recent report. The shortest reported time counts.
     pub fn reported_silent_for(&self, node: &str) -> Option<Duration> {
         let peers = self.peers.borrow();
-        let others = peers.iter().filter(|(other, _)| other.as_str() != node);
-        let others = others.filter(|(_, peer)| peer.answered_just_now());
-        others.map(|(_, peer)| peer.tells_silence_of(node)).min()
+        let other_peers = peers.iter().filter(|(other, _)| other.as_str() != node);
+        let other_peers = other_peers.filter(|(_, peer)| peer.answered_recently());
+        other_peers
+            .map(|(_, peer)| peer.reported_silence_of(node))
+            .min()
     }
 
-    /// Whether everything that this peer held is held here, since it was met, when
-    /// it went by this version of the member list already.
+    /// Checks whether, since the start of this process, all records of the peer have been
+    /// stored locally while the peer used at least this version of the member list.
     pub fn is_caught_up_with(&self, node: &str, members_version: u64) -> bool {
-        self.exchange_with(node, |exchange| exchange.is_caught_up_at(members_version))
+        self.check_journal_sync(node, |journal_sync| {
+            journal_sync.is_caught_up_at(members_version)
+        })
     }
 
-    /// Whether everything is held here that this peer held when it went by this
-    /// version of the member list already.
+    /// Checks whether all records are stored locally that the peer held when it already used
+    /// this version of the member list.
     pub fn is_in_sync_with(&self, node: &str, members_version: u64) -> bool {
-        self.exchange_with(node, |exchange| exchange.is_in_sync(members_version))
+        self.check_journal_sync(node, |journal_sync| {
+            journal_sync.is_in_sync(members_version)
+        })
     }
 
-    fn exchange_with(&self, node: &str, holds: impl Fn(&JournalSync) -> bool) -> bool {
+    fn check_journal_sync(&self, node: &str, holds: impl Fn(&JournalSync) -> bool) -> bool {
         let peers = self.peers.borrow();
         let peer = peers.get(node);
-        peer.is_some_and(|peer| holds(&peer.exchange.borrow()))
+        peer.is_some_and(|peer| holds(&peer.journal_sync.borrow()))
     }
 
-    async fn round(&self, peer: &Peer) -> Duration {
-        match self.compare(peer).await {
-            Some(true) => CATCH_UP_PAUSE,
-            Some(false) if self.in_haste() => CATCH_UP_PAUSE,
+    async fn run_round(&self, peer: &Peer) -> Duration {
+        match self.compare_page(peer).await {
+            Some(true) => CATCH_UP_INTERVAL,
+            Some(false) if self.is_urgent() => CATCH_UP_INTERVAL,
             Some(false) | None => COMPARISON_INTERVAL,
         }
     }
 
-    /// Whether a lost disk, a change of the list or a store that is to become a member
-    /// waits for the comparisons: until they are done the group may be unable to bear
-    /// the next loss.
-    fn in_haste(&self) -> bool {
+    /// Checks whether a replaced disk, a pending change of the member list or a joining store
+    /// waits for the comparisons. Until they are done, the group may not tolerate another
+    /// loss.
+    fn is_urgent(&self) -> bool {
         let members = self.local_store.members();
         let is_member = members.get(&self.local_store.node).is_some();
         !is_member || !self.local_store.is_complete() || !members.is_settled()
     }
 
-    /// One page; whether there is more at once.
-    async fn compare(&self, peer: &Peer) -> Option<bool> {
+    /// Compares one page of digests; returns whether the peer's journal continues after it.
+    async fn compare_page(&self, peer: &Peer) -> Option<bool> {
         let group = self.local_store.group()?;
         self.fetch_missing(peer).await?;
-        peer.exchange.borrow_mut().mark_fetched();
+        peer.journal_sync.borrow_mut().mark_fetched();
         let request = Request::Digests {
             group,
             members_version: self.local_store.members().version,
             node: self.local_store.node.clone(),
-            from: peer.exchange.borrow().position(),
-            held: peer.exchange.borrow().held_position(),
+            from: peer.journal_sync.borrow().position(),
+            held: peer.journal_sync.borrow().held_position(),
         };
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         let reply = self.call(peer, request).await?;
         let Reply::Digests {
             next,
@@ -196,8 +206,8 @@
         else {
             return None;
         };
-        self.local_store.apply_directory_mark(directory, sent);
-        self.tell_newer_stores(peer, members_version).await;
+        self.local_store.apply_directory_mark(directory, sent_at);
+        self.send_newer_stores(peer, members_version).await;
         peer.silent.replace(silent);
         let page = DigestPage {
             digests: &digests,
@@ -207,33 +217,33 @@
             members_version,
         };
         let holds = |digest| self.local_store.holds(digest);
-        peer.exchange.borrow_mut().apply_page(page, holds);
-        if !self.local_store.is_complete() || !peer.exchange.borrow().is_caught_up() {
+        peer.journal_sync.borrow_mut().apply_page(page, holds);
+        if !self.local_store.is_complete() || !peer.journal_sync.borrow().is_caught_up() {
             self.fetch_missing(peer).await?;
         }
-        peer.exchange.borrow_mut().mark_page_end();
-        self.judge_completeness();
+        peer.journal_sync.borrow_mut().mark_page_end();
+        self.update_completeness();
         Some(more)
     }
 
-    /// A peer that goes by an older list is told of the newer one: a change waits for it,
-    /// and the key-value service may turn it away for long.
-    async fn tell_newer_stores(&self, peer: &Peer, of_peer: u64) {
+    /// Sends the store groups to a peer with an older member list: the pending change waits
+    /// for it, and the key-value service may be rejecting its requests.
+    async fn send_newer_stores(&self, peer: &Peer, peer_version: u64) {
         let members = self.local_store.members();
-        if of_peer >= members.version || members.get(&self.local_store.node).is_none() {
+        if peer_version >= members.version || members.get(&self.local_store.node).is_none() {
             return;
         }
         let request = Request::NewerStoreGroups((*self.local_store.stores()).clone());
-        // A hint: the next comparison tells again.
+        // Not retried here: the next comparison sends it again.
         let _ = self.call(peer, request).await;
     }
 
-    /// Fetches what this peer was seen to hold and is still missing here. What
-    /// it does not deliver stays missing, and is asked for again.
+    /// Fetches the records of the peer that are missing locally. Records that the peer
+    /// doesn't return stay missing and are requested again.
     async fn fetch_missing(&self, peer: &Peer) -> Option<()> {
         let missing = || {
             let holds = |digest| self.local_store.holds(digest);
-            peer.exchange.borrow_mut().missing_digests(holds)
+            peer.journal_sync.borrow_mut().missing_digests(holds)
         };
         let digests = missing();
         let outcome = self.fetch(peer, &digests).await;
@@ -242,7 +252,7 @@
     }
 
     async fn fetch(&self, peer: &Peer, digests: &[RecordDigest]) -> Option<()> {
-        for page in digests.chunks(FETCH_PAGE) {
+        for page in digests.chunks(FETCH_PAGE_RECORDS) {
             let request = Request::Fetch {
                 digests: List(page.to_vec()),
             };
@@ -250,22 +260,22 @@
             let Reply::Fetched {
                 journal,
                 records,
-                expired: forgotten,
+                expired,
             } = reply
             else {
                 return None;
             };
-            peer.exchange
+            peer.journal_sync
                 .borrow_mut()
-                .forget_expired(journal, &forgotten);
-            let mut kept = Vec::new();
+                .forget_expired(journal, &expired);
+            let mut writes = Vec::new();
             for record in records {
                 let local_store = self.local_store.clone();
-                kept.push(tokio::task::spawn_local(async move {
+                writes.push(tokio::task::spawn_local(async move {
                     local_store.store_record(record).await
                 }));
             }
-            for result in kept {
+            for result in writes {
                 if !result.await.unwrap_or(false) {
                     return None;
                 }
@@ -280,8 +290,8 @@
         Some(reply)
     }
 
-    /// Whether so many peers have been caught up with that no kept record can
-    /// stand only elsewhere.
+    /// Checks whether this store has caught up with enough peers to hold every durable
+    /// record.
     pub fn is_caught_up_with_group(&self) -> bool {
         let members = self.local_store.members();
         is_caught_up_with_group(&members, &self.tolerance, |node| {
@@ -289,12 +299,11 @@
         })
     }
 
-    /// A disk that lost its content is complete again once it has caught up
-    /// with the group.
-    fn judge_completeness(&self) {
-        let waits =
+    /// Marks a replaced disk as complete once it has caught up with the group.
+    fn update_completeness(&self) {
+        let is_catching_up =
             !self.local_store.is_complete() && self.local_store.is_listed_with_current_disk();
-        if waits && self.is_caught_up_with_group() {
+        if is_catching_up && self.is_caught_up_with_group() {
             self.local_store.declare_complete();
             let detail = format!("members_version={}", self.local_store.members().version);
             observe::event(Event::StoreComplete, &detail);
--- a/crates/stageyoke-store/src/quorum.rs
+++ b/crates/stageyoke-store/src/quorum.rs
@@ -1,5 +1,5 @@
-//! Counts the answers of a group's members. Pure: whoever drives it sends the
-//! calls and hands their answers in.
+//! Counts the replies of a group's members. Pure: the caller sends the requests and passes
+//! the replies in.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -11,14 +11,14 @@
 use crate::message::{ChainPart, LedgerEntry, Refusal, Reply};
 use stageyoke_types::Text;
 
-/// A program's ledger, merged over a quorum.
+/// A program's ledger, merged from the replies of a quorum.
 #[derive(Clone, Debug, Default)]
 pub struct LedgerView {
     entries: BTreeMap<u64, LedgerEntry>,
 }
 
 impl LedgerView {
-    /// Takes one member's entries: a settled amount replaces a reservation.
+    /// Adds one member's entries. A settled amount replaces a reservation.
     pub fn merge(&mut self, entries: impl IntoIterator<Item = LedgerEntry>) {
         for entry in entries {
             match self.entries.get(&entry.turn) {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Tokens used and reserved by all turns but this one.
+    /// Tokens that all turns except this one have used or reserved.
     pub fn total_excluding(&self, turn: &str) -> u64 {
         let TurnKey(turn) = TurnKey::of(turn);
         self.entries
@@ -40,29 +40,28 @@
             .sum()
     }
 
-    /// Turns of the ledger.
+    /// Number of turns in the ledger.
     pub fn turns(&self) -> usize {
         self.entries.len()
     }
 }
 
-/// The answers to one append. It is kept once a write quorum of the member list
-/// by which it was sent, and of the members before while that list is being
-/// changed, has it on disk; a reservation's quorum consists of complete members,
-/// since their ledgers decide.
+/// Replies to one append. The record is durable once a write quorum of the member list in use
+/// has it on disk, and during a change also one of the list before it. For a reservation only
+/// complete members count, since their ledgers decide on the budget.
 #[derive(Debug)]
 pub struct AppendTally {
     members: Rc<Members>,
     quorums: Quorums,
     reads_ledger: bool,
-    keeping: BTreeSet<Text>,
+    stored_on: BTreeSet<Text>,
     ledger: LedgerView,
     error: GroupError,
-    newer: Option<StoreGroups>,
+    newer_stores: Option<StoreGroups>,
 }
 
 impl AppendTally {
-    /// No answer yet. Fails where the list is too small for the tolerance.
+    /// Creates a tally without replies. Fails if the list is too small for the tolerance.
     pub fn new(
         members: &Rc<Members>,
         tolerance: &Tolerance,
@@ -72,14 +71,14 @@
             members: members.clone(),
             quorums: members.quorums(tolerance).ok_or(GroupError::NoGroup)?,
             reads_ledger,
-            keeping: BTreeSet::new(),
+            stored_on: BTreeSet::new(),
             ledger: LedgerView::default(),
             error: GroupError::NoQuorum,
-            newer: None,
+            newer_stores: None,
         })
     }
 
-    /// Takes an answer of the member on this machine, which counts once.
+    /// Adds the reply of the member on this machine. Repeated replies count once.
     pub fn add_reply(&mut self, member: &Text, reply: Reply) {
         match reply {
             Reply::Stored {
@@ -87,13 +86,13 @@
             } => {
                 self.ledger.merge(ledger);
                 if complete || !self.reads_ledger {
-                    self.keeping.insert(member.clone());
+                    self.stored_on.insert(member.clone());
                 }
             }
             Reply::StaleMembers(newer) => {
-                let known = self.newer.as_ref().map_or(0, |known| known.version);
+                let known = self.newer_stores.as_ref().map_or(0, |known| known.version);
                 if newer.version > known {
-                    self.newer = Some(newer);
+                    self.newer_stores = Some(newer);
                 }
                 self.error = GroupError::StaleMembers;
             }
@@ -114,18 +113,18 @@
         }
     }
 
-    /// Whether a write quorum has kept it.
+    /// Checks whether a write quorum has stored the record.
     pub fn is_stored(&self) -> bool {
         self.members
-            .has_quorum(self.quorums, |member| self.keeping.contains(&member.node))
+            .has_quorum(self.quorums, |member| self.stored_on.contains(&member.node))
     }
 
-    /// Newer store groups that came with a refusal.
+    /// Takes the newer store groups that came with a rejection.
     pub fn take_newer_stores(&mut self) -> Option<StoreGroups> {
-        self.newer.take()
+        self.newer_stores.take()
     }
 
-    /// The ledger, or why no quorum has kept it.
+    /// Returns the merged ledger, or the reason why no quorum has stored the record.
     pub fn outcome(self) -> Result<LedgerView, GroupError> {
         match self.is_stored() {
             true => Ok(self.ledger),
@@ -134,47 +133,47 @@
     }
 }
 
-/// What a group's answers say of one turn.
+/// Result of looking up one turn in a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChainLookup {
-    /// It is held, with these turns before it.
+    /// The turn is stored, with these predecessors.
     Parts {
-        /// Newest first.
+        /// Turns from the requested one backwards.
         found: Vec<ChainPart>,
-        /// The first turn that is not among them; empty if the chain is whole.
+        /// First turn that is not among them; empty if the chain is complete.
         missing: Text,
     },
-    /// No member's disk can hold it.
+    /// No member can hold the turn.
     Absent,
-    /// Not known yet.
+    /// The replies so far are not conclusive.
     Unknown,
 }
 
-/// The answers to the question for one chain. Absence is known once so many
-/// complete members miss the turn, of the list and of the members before, that no
-/// write quorum can have kept it, by this list or by a newer one.
+/// Replies to one chain lookup. The turn is absent once enough complete members lack it, in
+/// the member list in use and in the one before it, to rule out that a write quorum stored it
+/// under this list or a newer one.
 #[derive(Debug)]
 pub struct ChainTally {
     members: Rc<Members>,
     quorums: Quorums,
-    missing: BTreeSet<Text>,
+    missing_on: BTreeSet<Text>,
     found: Option<(Vec<ChainPart>, Text)>,
-    newer: Option<StoreGroups>,
+    newer_stores: Option<StoreGroups>,
 }
 
 impl ChainTally {
-    /// No answer yet; `None` where the list is too small for the tolerance.
+    /// Creates a tally without replies; `None` if the list is too small for the tolerance.
     pub fn new(members: &Rc<Members>, tolerance: &Tolerance) -> Option<Self> {
         Some(Self {
             members: members.clone(),
             quorums: members.quorums(tolerance)?,
-            missing: BTreeSet::new(),
+            missing_on: BTreeSet::new(),
             found: None,
-            newer: None,
+            newer_stores: None,
         })
     }
 
-    /// Takes an answer of the member on this machine, which counts once.
+    /// Adds the reply of the member on this machine. Repeated replies count once.
     pub fn add_reply(&mut self, member: &Text, reply: Reply) {
         let (complete, parts, missing) = match reply {
             Reply::Chain {
@@ -183,35 +182,36 @@
                 missing,
             } => (complete, parts, missing),
             Reply::StaleMembers(newer) => {
-                self.newer = Some(newer);
+                self.newer_stores = Some(newer);
                 return;
             }
             _ => return,
         };
         if parts.is_empty() {
             if complete {
-                self.missing.insert(member.clone());
+                self.missing_on.insert(member.clone());
             }
         } else if self.found.is_none() {
             self.found = Some((parts.0, missing));
         }
     }
 
-    /// Newer store groups that came in place of an answer.
+    /// Takes the newer store groups that came in place of a reply.
     pub fn take_newer_stores(&mut self) -> Option<StoreGroups> {
-        self.newer.take()
+        self.newer_stores.take()
     }
 
-    fn absent(&self) -> bool {
-        self.members
-            .has_quorum(self.quorums, |member| self.missing.contains(&member.node))
+    fn is_absent(&self) -> bool {
+        self.members.has_quorum(self.quorums, |member| {
+            self.missing_on.contains(&member.node)
+        })
     }
 
-    /// What is known now.
+    /// Returns the result that the replies so far allow.
     pub fn step(&mut self) -> ChainLookup {
         match self.found.take() {
             Some((found, missing)) => ChainLookup::Parts { found, missing },
-            None if self.absent() => ChainLookup::Absent,
+            None if self.is_absent() => ChainLookup::Absent,
             None => ChainLookup::Unknown,
         }
     }
--- a/crates/stageyoke-store/src/quota_owners.rs
+++ b/crates/stageyoke-store/src/quota_owners.rs
@@ -1,10 +1,9 @@
-//! Which stores count for which tenant, and a front's questions to them.
+//! Selects the stores that own a tenant's quota and asks them on behalf of a front.
 //!
-//! A tenant's limit holds over all fronts, so one store counts its requests: the
-//! first by a weight that all fronts work out alike. Some others are told of each
-//! grant, one more than may be lost at once, and go on where the first does not
-//! answer. A store that has not been there for a whole window leaves the decision to
-//! one that has.
+//! A tenant's limit applies across all fronts, so one store counts its requests: the first in
+//! a ranking by hash that all fronts compute alike. Each grant is also reported to other
+//! owners, one more than may be lost at once, which take over when the first does not answer.
+//! An owner that has not been running for a whole window leaves the decision to one that has.
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
@@ -22,77 +21,77 @@
 use crate::keys::TurnKey;
 use crate::message::{QuotaReceipt, QuotaReply, QuotaRequest, Reply, Request};
 
-/// How long an owner may take before the next is asked: several ways there and
-/// back between zones, and the longest pauses of a store that is only busy.
-const ANSWER_WITHIN: Duration = Duration::from_millis(60);
-/// An owner that did not answer is asked after the next ones for this long.
-const DISTRUST: Duration = Duration::from_millis(1000);
-/// Owners that count for a tenant at least.
-const LEAST_COUNTING: usize = 2;
-/// How long a grant is told to another owner.
-const TELL_WITHIN: Duration = Duration::from_millis(500);
+/// Time limit for an owner's answer: several round trips between zones plus the longest pause
+/// of a busy store.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
+/// Time for which an owner that did not answer is asked last.
+const DEPRIORITIZED_PERIOD: Duration = Duration::from_millis(1000);
+/// Minimum number of owners that count a tenant's requests.
+const MIN_COUNTING_OWNERS: usize = 2;
+/// Time limit for a report to an owner.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A store with the hash by which it is ranked, and where it stands.
+/// A store's rank hash and its location.
 #[derive(Clone, Debug)]
-struct Ranked {
+struct RankedStore {
     node: Text,
     hash: u64,
     zone: Text,
     region: Text,
 }
 
-/// A tenant's owners, the first first.
+/// Owners of a tenant's quota in the order in which they are asked.
 #[derive(Debug, Default)]
-struct Ranking {
-    /// Those that count.
+struct OwnerRanking {
+    /// Owners that count the tenant's requests.
     counting: Vec<Text>,
-    /// The one that is asked in their place.
+    /// Owner that decides if none of the counting owners does.
     standby: Option<Text>,
 }
 
-/// How an owner is asked.
+/// How an owner decides on a question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Asking {
-    /// To decide if it knows the whole window.
-    Usual,
-    /// To decide as well as it can.
-    Pressed,
-    /// To decide in place of others.
+enum DecisionMode {
+    /// Only if it has counted for a whole window.
+    Normal,
+    /// With the counts that it has.
+    BestEffort,
+    /// In place of the counting owners.
     Standby,
 }
 
-/// A request that an owner has granted, by which it can be given back.
+/// A granted request, with what a refund needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuotaGrant {
-    /// Who granted it.
+    /// Owner that granted the request.
     pub owner: Text,
     /// Hash of the tenant's name.
     pub tenant: u64,
-    /// Where it is counted.
+    /// Window slot in which the owner counted the request.
     pub receipt: QuotaReceipt,
 }
 
-/// What an owner has said.
+/// An owner's decision on a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OwnerDecision {
-    /// Whether the request may be made.
+    /// Verdict on the request.
     pub verdict: QuotaDecision,
-    /// Fronts that the owner hears from.
+    /// Number of fronts that report to the owner.
     pub fronts: u16,
-    /// The grant, if it is one.
+    /// Grant to refund if the request is not run; `None` if it was rejected.
     pub grant: Option<QuotaGrant>,
 }
 
-/// The stores as owners of tenants' limits.
+/// Ranks the stores as owners of tenants' quotas.
 #[derive(Debug, Default)]
 pub struct QuotaOwners {
     tolerance: Tolerance,
-    stores: RefCell<Vec<Ranked>>,
-    distrusted: RefCell<HashMap<Text, Instant>>,
+    stores: RefCell<Vec<RankedStore>>,
+    deprioritized: RefCell<HashMap<Text, Instant>>,
 }
 
 impl QuotaOwners {
-    /// Owners of which so many may be lost at once.
+    /// Creates a ranking whose counting owners survive the losses of this tolerance.
     pub fn with_tolerance(tolerance: Tolerance) -> Self {
         Self {
             tolerance,
@@ -100,10 +99,10 @@
         }
     }
 
-    /// Follows the members of the store groups.
+    /// Replaces the ranked stores by the members of these store groups.
     pub fn update_stores(&self, stores: &StoreGroups) {
         let regions = &self.tolerance.region_by_zone;
-        let ranked = stores.members().map(|member| Ranked {
+        let ranked = stores.members().map(|member| RankedStore {
             node: member.node.clone(),
             hash: TurnKey::of(&member.node).0,
             zone: member.zone.clone(),
@@ -113,15 +112,15 @@
             },
         });
         *self.stores.borrow_mut() = ranked.collect();
-        self.distrusted.borrow_mut().clear();
+        self.deprioritized.borrow_mut().clear();
     }
 
-    /// The stores that count for a tenant, the first first.
+    /// Stores that count a tenant's requests, the first to be asked first.
     pub fn counting_owners(&self, tenant: u64) -> Vec<Text> {
         self.ranking(tenant).counting
     }
 
-    /// A tenant's owners, the first first: those that count, and one in their place.
+    /// All owners of a tenant's quota: the counting ones in order, then the standby.
     pub fn owners_of(&self, tenant: u64) -> Vec<Text> {
         let ranking = self.ranking(tenant);
         ranking
@@ -131,47 +130,51 @@
             .collect()
     }
 
-    fn ranking(&self, tenant: u64) -> Ranking {
+    fn ranking(&self, tenant: u64) -> OwnerRanking {
         let stores = self.stores.borrow();
-        let mut left: Vec<&Ranked> = stores.iter().collect();
-        left.sort_unstable_by_key(|store| (mix(store.hash ^ tenant), &store.node));
-        let mut counting: Vec<&Ranked> = Vec::new();
-        while let Some(next) = self.next_counting(&counting, &left) {
-            counting.push(left.remove(next));
+        let mut candidates: Vec<&RankedStore> = stores.iter().collect();
+        candidates.sort_unstable_by_key(|store| (mix(store.hash ^ tenant), &store.node));
+        let mut counting: Vec<&RankedStore> = Vec::new();
+        while let Some(next) = self.next_counting_owner(&counting, &candidates) {
+            counting.push(candidates.remove(next));
         }
-        Ranking {
+        OwnerRanking {
             counting: counting.iter().map(|store| store.node.clone()).collect(),
-            standby: left.first().map(|store| store.node.clone()),
+            standby: candidates.first().map(|store| store.node.clone()),
         }
     }
 
-    /// Position of the next store that shall count beside these; `None` if some of
-    /// them are left whatever is lost.
-    fn next_counting(&self, counting: &[&Ranked], left: &[&Ranked]) -> Option<usize> {
+    /// Returns the index in `candidates` of the next store that has to count; `None` once enough
+    /// counting stores survive any tolerated loss.
+    fn next_counting_owner(
+        &self,
+        counting: &[&RankedStore],
+        candidates: &[&RankedStore],
+    ) -> Option<usize> {
         let zones: BTreeSet<&Text> = counting.iter().map(|store| &store.zone).collect();
         let regions: BTreeSet<&Text> = counting.iter().map(|store| &store.region).collect();
         let wants_zone = self.tolerance.zones > 0 && zones.len() <= self.tolerance.zones;
         let wants_region = self.tolerance.regions > 0 && regions.len() <= self.tolerance.regions;
-        let elsewhere = |store: &&Ranked| {
+        let elsewhere = |store: &&RankedStore| {
             let zone = wants_zone && !zones.contains(&store.zone);
             let region = wants_region && !regions.contains(&store.region);
             zone || region
         };
-        let elsewhere = left.iter().position(elsewhere);
-        let wanted = LEAST_COUNTING.max(self.tolerance.machines + 1);
-        let next = (counting.len() < wanted && !left.is_empty()).then_some(0);
+        let elsewhere = candidates.iter().position(elsewhere);
+        let required = MIN_COUNTING_OWNERS.max(self.tolerance.machines + 1);
+        let next = (counting.len() < required && !candidates.is_empty()).then_some(0);
         elsewhere.or(next)
     }
 
-    fn distrusts(&self, node: &Text) -> bool {
-        let distrusted = self.distrusted.borrow();
-        distrusted
+    fn is_deprioritized(&self, node: &Text) -> bool {
+        let deprioritized = self.deprioritized.borrow();
+        deprioritized
             .get(node)
             .is_some_and(|until| *until > Instant::now())
     }
 
-    /// Asks a tenant's owners one after the other; `None` where none answers. One that
-    /// does not know the whole window decides only where none does.
+    /// Asks a tenant's owners one after the other; `None` if none answers. An owner without a
+    /// whole window of counts decides only if no other can.
     pub async fn request_decision(
         &self,
         question: AcquireRequest,
@@ -179,84 +182,93 @@
     ) -> Option<OwnerDecision> {
         let ranking = self.ranking(question.tenant);
         let counting = ranking.counting.iter();
-        let (distrusted, trusted): (Vec<_>, Vec<_>) =
-            counting.partition(|node| self.distrusts(node));
-        let mut unsure: Vec<&Text> = Vec::new();
-        for node in trusted {
-            match self.ask_one(node, question, Asking::Usual, &client).await {
-                Some(ruling) if ruling.verdict != QuotaDecision::Unknown => {
-                    return Some(ranking.settle(node, question, ruling, client));
+        let (deprioritized, preferred): (Vec<_>, Vec<_>) =
+            counting.partition(|node| self.is_deprioritized(node));
+        let mut undecided: Vec<&Text> = Vec::new();
+        for node in preferred {
+            match self
+                .request_from(node, question, DecisionMode::Normal, &client)
+                .await
+            {
+                Some(decision) if decision.verdict != QuotaDecision::Unknown => {
+                    return Some(ranking.report_if_granted(node, question, decision, client));
                 }
-                Some(_) => unsure.push(node),
+                Some(_) => undecided.push(node),
                 None => {}
             }
         }
-        let pressed = |node| (node, Asking::Pressed);
-        let standby = ranking.standby.iter().map(|node| (node, Asking::Standby));
-        let unsure = unsure.into_iter().map(pressed);
-        let distrusted = distrusted.into_iter().map(pressed);
-        for (node, asking) in unsure.chain(standby).chain(distrusted) {
-            if let Some(ruling) = self.ask_one(node, question, asking, &client).await {
-                return Some(ranking.settle(node, question, ruling, client));
+        let best_effort = |node| (node, DecisionMode::BestEffort);
+        let standby = ranking
+            .standby
+            .iter()
+            .map(|node| (node, DecisionMode::Standby));
+        let undecided = undecided.into_iter().map(best_effort);
+        let deprioritized = deprioritized.into_iter().map(best_effort);
+        for (node, mode) in undecided.chain(standby).chain(deprioritized) {
+            if let Some(decision) = self.request_from(node, question, mode, &client).await {
+                return Some(ranking.report_if_granted(node, question, decision, client));
             }
         }
         None
     }
 
-    /// Asks one owner; one that does not answer is asked after others for a while.
-    async fn ask_one(
+    /// Asks one owner. One that does not answer is deprioritized for a while.
+    async fn request_from(
         &self,
         node: &Text,
         question: AcquireRequest,
-        asking: Asking,
+        mode: DecisionMode,
         client: &impl Fn(&Text) -> Option<Rc<StoreClient>>,
     ) -> Option<OwnerDecision> {
-        let asked = client(node)?;
+        let owner_client = client(node)?;
         let tenant = question.tenant;
         let question = QuotaRequest {
-            standby: asking == Asking::Standby,
-            forced: asking == Asking::Pressed,
+            standby: mode == DecisionMode::Standby,
+            forced: mode == DecisionMode::BestEffort,
             ..QuotaRequest::from(question)
         };
-        match asked.call(Request::Quota(question), ANSWER_WITHIN).await {
-            Ok(Reply::Quota(answer)) => Some(OwnerDecision::of(answer, node, tenant)),
+        match owner_client
+            .call(Request::Quota(question), ANSWER_TIMEOUT)
+            .await
+        {
+            Ok(Reply::Quota(answer)) => Some(OwnerDecision::from_answer(answer, node, tenant)),
             Ok(_) | Err(_) => {
-                let until = Instant::now() + DISTRUST;
-                self.distrusted.borrow_mut().insert(node.clone(), until);
+                let until = Instant::now() + DEPRIORITIZED_PERIOD;
+                self.deprioritized.borrow_mut().insert(node.clone(), until);
                 None
             }
         }
     }
 }
 
-impl Ranking {
-    /// Tells the others that count of a grant.
-    fn settle(
+impl OwnerRanking {
+    /// Reports a grant to the other counting owners.
+    fn report_if_granted(
         &self,
         node: &Text,
         question: AcquireRequest,
-        ruling: OwnerDecision,
+        decision: OwnerDecision,
         client: impl Fn(&Text) -> Option<Rc<StoreClient>>,
     ) -> OwnerDecision {
-        if ruling.verdict == QuotaDecision::Granted {
-            let others = self.counting.iter().filter(|other| *other != node);
-            tell_granted(question, others.filter_map(client));
+        if decision.verdict == QuotaDecision::Granted {
+            let other_owners = self.counting.iter().filter(|other| *other != node);
+            report_grant(question, other_owners.filter_map(client));
         }
-        ruling
+        decision
     }
 }
 
-/// Tells other owners of a grant. One that does not hear of it may grant as
-/// much again where it goes on for the first.
-fn tell_granted(question: AcquireRequest, others: impl Iterator<Item = Rc<StoreClient>>) {
-    for other in others {
+/// Reports a grant to other owners. One that misses the report may grant as much again if it
+/// takes over.
+fn report_grant(question: AcquireRequest, other_owners: impl Iterator<Item = Rc<StoreClient>>) {
+    for other in other_owners {
         let request = Request::QuotaGranted(QuotaRequest::from(question));
-        tokio::task::spawn_local(tell(other, request));
+        tokio::task::spawn_local(send_report(other, request));
     }
 }
 
-/// Gives back a request that an owner has granted and that was not run. One that does
-/// not hear of it counts it until it leaves the window.
+/// Refunds a granted request that was not run. If the owner misses the refund, the request
+/// counts until it leaves the window.
 pub(crate) fn refund(grant: &QuotaGrant, client: Option<Rc<StoreClient>>) {
     let Some(owner) = client else {
         metrics().quota_untold.inc();
@@ -266,23 +278,23 @@
         tenant: grant.tenant,
         receipt: grant.receipt,
     };
-    tokio::task::spawn_local(tell(owner, request));
+    tokio::task::spawn_local(send_report(owner, request));
 }
 
-/// Tells an owner something that it may miss; how often it does is counted.
-async fn tell(owner: Rc<StoreClient>, request: Request) {
-    if owner.call(request, TELL_WITHIN).await.is_err() {
+/// Sends a report that the owner may miss; counts failures in a metric.
+async fn send_report(owner: Rc<StoreClient>, request: Request) {
+    if owner.call(request, REPORT_TIMEOUT).await.is_err() {
         metrics().quota_untold.inc();
     }
 }
 
 impl OwnerDecision {
-    fn of(answer: QuotaReply, owner: &Text, tenant: u64) -> Self {
-        let after = Duration::from_millis(u64::from(answer.retry_after_milliseconds));
+    fn from_answer(answer: QuotaReply, owner: &Text, tenant: u64) -> Self {
+        let retry_after = Duration::from_millis(u64::from(answer.retry_after_milliseconds));
         let verdict = match (answer.decided, answer.granted) {
             (false, _) => QuotaDecision::Unknown,
             (true, true) => QuotaDecision::Granted,
-            (true, false) => QuotaDecision::Rejected(after),
+            (true, false) => QuotaDecision::Rejected(retry_after),
         };
         let grant = (verdict == QuotaDecision::Granted).then(|| QuotaGrant {
             owner: owner.clone(),
--- a/crates/stageyoke-store/src/rank_load.rs
+++ b/crates/stageyoke-store/src/rank_load.rs
@@ -1,5 +1,5 @@
-//! Turns under way at engines by service and rank, as all fronts together have them: the
-//! view by which each front decides whether a program begins.
+//! Turns in flight at engines by service and rank, summed over all fronts. Admission of new
+//! programs is based on it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -8,12 +8,12 @@
 use tokio::time::Instant;
 
 use crate::extension::RankLoad;
-use crate::load::{LOAD_REPORT_TTL, count_down};
+use crate::load::{LOAD_REPORT_TTL, decrement};
 
-/// Services and ranks of turns in one report.
+/// Maximum number of service and rank pairs in one report.
 pub const MAX_RANK_LOADS: usize = 32;
 
-/// A service's engines and a rank of turns there.
+/// A service and a rank of its turns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ServiceRank {
     /// Hash of the service's name.
@@ -23,7 +23,7 @@
 }
 
 impl ServiceRank {
-    fn of(load: &RankLoad) -> Self {
+    fn from_load(load: &RankLoad) -> Self {
         Self {
             service: load.service,
             rank: load.rank,
@@ -31,121 +31,129 @@
     }
 }
 
-/// Turns by service and rank.
+/// Number of turns by service and rank.
 #[derive(Debug, Default)]
 struct RankCounts(HashMap<ServiceRank, u16>);
 
 impl RankCounts {
     fn add(&mut self, load: &RankLoad) {
-        let sum = self.0.entry(ServiceRank::of(load)).or_default();
+        let sum = self.0.entry(ServiceRank::from_load(load)).or_default();
         *sum = sum.saturating_add(load.in_flight);
     }
 
-    /// The highest counts, as they are told.
-    fn listed(&self) -> List<RankLoad> {
-        let listed = self.0.iter().map(|(ranked, under_way)| RankLoad {
-            service: ranked.service,
-            rank: ranked.rank,
-            in_flight: *under_way,
+    /// The highest counts, in the form of a report.
+    fn to_report(&self) -> List<RankLoad> {
+        let loads = self.0.iter().map(|(service_rank, in_flight)| RankLoad {
+            service: service_rank.service,
+            rank: service_rank.rank,
+            in_flight: *in_flight,
         });
-        let mut listed: Vec<RankLoad> = listed.collect();
-        listed.sort_by_key(|load| std::cmp::Reverse(load.in_flight));
-        listed.truncate(MAX_RANK_LOADS);
-        List(listed)
+        let mut loads: Vec<RankLoad> = loads.collect();
+        loads.sort_by_key(|load| std::cmp::Reverse(load.in_flight));
+        loads.truncate(MAX_RANK_LOADS);
+        List(loads)
     }
 }
 
-/// What other fronts have under way, as a store told it.
+/// Counts of all other fronts, as reported by a store.
 #[derive(Debug)]
-struct Heard {
+struct ReceivedCounts {
     counts: RankCounts,
-    at: Instant,
+    received_at: Instant,
 }
 
-/// A front's own turns and what it last heard of all others'.
+/// A front's own turns and the turns that stores report for all other fronts.
 #[derive(Debug, Default)]
 pub struct RankTracker {
-    tells: Cell<bool>,
-    own: RefCell<RankCounts>,
-    others: RefCell<Option<Heard>>,
+    reports_enabled: Cell<bool>,
+    local: RefCell<RankCounts>,
+    other_fronts: RefCell<Option<ReceivedCounts>>,
 }
 
 impl RankTracker {
-    /// From now on other fronts are told, and tell this one.
+    /// Starts to exchange reports with other fronts.
     pub fn enable_reports(&self) {
-        self.tells.set(true);
+        self.reports_enabled.set(true);
     }
 
-    /// Counts a turn of this rank as begun at an engine of a service.
-    pub fn start_turn(&self, ranked: ServiceRank) {
-        let mut own = self.own.borrow_mut();
-        let count = own.0.entry(ranked).or_default();
+    /// Counts a turn of this rank as started at one of the service's engines.
+    pub fn start_turn(&self, service_rank: ServiceRank) {
+        let mut local = self.local.borrow_mut();
+        let count = local.0.entry(service_rank).or_default();
         *count = count.saturating_add(1);
     }
 
-    /// Counts it as ended.
-    pub fn end_turn(&self, ranked: ServiceRank) {
-        count_down(&mut self.own.borrow_mut().0, ranked);
+    /// Counts a turn of this rank as ended.
+    pub fn end_turn(&self, service_rank: ServiceRank) {
+        decrement(&mut self.local.borrow_mut().0, service_rank);
     }
 
-    /// The front's own turns, for its stores; none where nothing is told to others.
+    /// This front's turns, to report to stores; `None` while reports are disabled.
     pub fn report(&self) -> Option<List<RankLoad>> {
-        self.tells.get().then(|| self.own.borrow().listed())
+        self.reports_enabled
+            .get()
+            .then(|| self.local.borrow().to_report())
     }
 
-    /// Takes the turns that all other fronts have under way.
-    pub fn apply_report(&self, others: &List<RankLoad>) {
+    /// Applies a report on the turns of all other fronts.
+    pub fn apply_report(&self, other_fronts: &List<RankLoad>) {
         let mut counts = RankCounts::default();
-        others.iter().for_each(|load| counts.add(load));
-        let at = Instant::now();
-        self.others.replace(Some(Heard { counts, at }));
+        other_fronts.iter().for_each(|load| counts.add(load));
+        let received_at = Instant::now();
+        self.other_fronts.replace(Some(ReceivedCounts {
+            counts,
+            received_at,
+        }));
     }
 
-    /// Turns under way at a service's engines of this rank or a more urgent one; `None`
-    /// where what other fronts have is not known or was told too long ago.
-    pub fn in_flight_at_or_above(&self, ranked: ServiceRank) -> Option<u32> {
-        let others = self.others.borrow();
-        let heard = others.as_ref()?;
-        if heard.at.elapsed() >= LOAD_REPORT_TTL {
+    /// Turns in flight at a service's engines with this rank or a more urgent one; `None`
+    /// without a recent report on the other fronts.
+    pub fn in_flight_at_or_above(&self, service_rank: ServiceRank) -> Option<u32> {
+        let other_fronts = self.other_fronts.borrow();
+        let received = other_fronts.as_ref()?;
+        if received.received_at.elapsed() >= LOAD_REPORT_TTL {
             return None;
         }
-        let own = self.own.borrow();
-        let all = own.0.iter().chain(heard.counts.0.iter());
-        let counted =
-            all.filter(|(other, _)| other.service == ranked.service && other.rank <= ranked.rank);
+        let local = self.local.borrow();
+        let all = local.0.iter().chain(received.counts.0.iter());
+        let counted = all.filter(|(other, _)| {
+            other.service == service_rank.service && other.rank <= service_rank.rank
+        });
         Some(counted.map(|(_, count)| u32::from(*count)).sum())
     }
 }
 
-/// A front's turns as it told them last.
+/// Latest report of a front.
 #[derive(Debug)]
-struct Told {
+struct FrontReport {
     loads: List<RankLoad>,
-    at: Instant,
+    received_at: Instant,
 }
 
-/// A store's collection of what fronts have under way.
+/// Reports that a store has received from fronts.
 #[derive(Debug, Default)]
 pub struct RankReports {
-    fronts: RefCell<HashMap<u32, Told>>,
+    fronts: RefCell<HashMap<u32, FrontReport>>,
 }
 
 impl RankReports {
-    /// Takes a front's turns in place of its former ones.
+    /// Replaces a front's previous report.
     pub fn update(&self, front: u32, loads: List<RankLoad>) {
-        let at = Instant::now();
-        self.fronts.borrow_mut().insert(front, Told { loads, at });
+        let received_at = Instant::now();
+        self.fronts
+            .borrow_mut()
+            .insert(front, FrontReport { loads, received_at });
     }
 
-    /// Turns of all fronts but one.
+    /// Sums the turns of all fronts except this one.
     pub fn report_excluding(&self, front: u32) -> List<RankLoad> {
         let mut fronts = self.fronts.borrow_mut();
-        fronts.retain(|_, told| told.at.elapsed() < LOAD_REPORT_TTL);
-        let others = fronts.iter().filter(|(other, _)| **other != front);
+        fronts.retain(|_, report| report.received_at.elapsed() < LOAD_REPORT_TTL);
+        let other_fronts = fronts.iter().filter(|(other, _)| **other != front);
         let mut counts = RankCounts::default();
-        others
-            .flat_map(|(_, told)| told.loads.iter())
+        other_fronts
+            .flat_map(|(_, report)| report.loads.iter())
             .for_each(|load| counts.add(load));
-        counts.listed()
+        counts.to_report()
     }
 }
--- a/crates/stageyoke-store/src/recent_turns.rs
+++ b/crates/stageyoke-store/src/recent_turns.rs
@@ -1,67 +1,66 @@
-//! The newest turns with their contents, within a bound of bytes; the oldest
-//! go first.
+//! Cache of the newest turns with their contents, bounded in bytes. Evicts the oldest first.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::keys::TurnKey;
 use crate::message::ChainPart;
 
-/// Bytes that one turn costs beside its contents: its identifiers, and its
-/// places in the map and in the order (measured together at about 200).
-const TURN_OVERHEAD: usize = 200;
+/// Approximate memory of a turn beside its contents: identifiers and entries in the map and
+/// the queue.
+const TURN_OVERHEAD_BYTES: usize = 200;
 
-/// Recent turns, oldest out first.
+/// Cache of recent turns.
 #[derive(Debug)]
 pub struct RecentTurns {
-    most_bytes: usize,
+    max_bytes: usize,
     parts: HashMap<TurnKey, ChainPart>,
     order: VecDeque<TurnKey>,
     bytes: usize,
 }
 
 impl RecentTurns {
-    /// Keeps at most so many bytes.
-    pub fn new(most_bytes: usize) -> Self {
+    /// Creates a cache of at most this size.
+    pub fn new(max_bytes: usize) -> Self {
         Self {
-            most_bytes,
+            max_bytes,
             parts: HashMap::new(),
             order: VecDeque::new(),
             bytes: 0,
         }
     }
 
-    /// Takes a turn.
+    /// Adds a turn and evicts old ones until the size limit is met.
     pub fn insert(&mut self, part: ChainPart) {
         let key = TurnKey::of(&part.turn);
         if self.parts.contains_key(&key) {
             return;
         }
-        self.bytes += weight(&part);
+        self.bytes += size_bytes(&part);
         self.order.push_back(key);
         self.parts.insert(key, detached(part));
-        while self.bytes > self.most_bytes {
+        while self.bytes > self.max_bytes {
             let Some(oldest) = self.order.pop_front() else {
                 return;
             };
             if let Some(part) = self.parts.remove(&oldest) {
-                self.bytes -= weight(&part);
+                self.bytes -= size_bytes(&part);
             }
         }
     }
 
-    /// A turn, if it is among them; the caller compares its identifier.
+    /// Returns a cached turn. Keys may collide, so the caller compares the identifier.
     pub fn get(&self, turn: TurnKey) -> Option<&ChainPart> {
         self.parts.get(&turn)
     }
 
-    /// Bytes in memory.
+    /// Estimated memory of the cache.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 }
 
-/// The part without what its contents were cut from: kept read buffers of 8 KB are not
-/// counted, and grew a front's memory beyond its bound.
+/// Copies the contents out of the buffers that they were read into: a slice would keep its
+/// whole buffer allocated, which the size limit does not count.
 fn detached(part: ChainPart) -> ChainPart {
     ChainPart {
         input: part.input.detached(),
@@ -70,6 +69,6 @@
     }
 }
 
-fn weight(part: &ChainPart) -> usize {
-    part.input.len() + part.output.len() + TURN_OVERHEAD
+fn size_bytes(part: &ChainPart) -> usize {
+    part.input.len() + part.output.len() + TURN_OVERHEAD_BYTES
 }
--- a/crates/stageyoke-store/src/recovery_monitor.rs
+++ b/crates/stageyoke-store/src/recovery_monitor.rs
@@ -1,5 +1,5 @@
-//! Tells what a store waits for in the list of its group, and measures how long the
-//! group took to be whole again.
+//! Logs what a store's membership step waits for, and measures how long its group takes to
+//! recover from a loss.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -11,27 +11,28 @@
 use crate::membership::MembershipStep;
 use crate::wait_reason::{MemberCounts, WaitReason};
 
-/// What is waited for is told once it has been the same for so long: a change that
-/// goes well passes through several within a second.
-const TELL_AFTER: Duration = Duration::from_secs(1);
+/// Delay before a wait reason is logged: a change that succeeds passes through several
+/// reasons within a second.
+const REPORT_DELAY: Duration = Duration::from_secs(1);
 
-/// What is waited for.
+/// A wait reason and the member list it refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Wait {
+struct PendingWait {
     waiting: WaitReason,
     members_version: u64,
 }
 
-/// What a store waits for, and since when its group is not whole.
+/// Wait reason of a store, and the time since which its group is degraded.
 #[derive(Debug, Default)]
 pub struct RecoveryMonitor {
-    current: Cell<Option<(Wait, Instant)>>,
-    told: Cell<Option<Wait>>,
-    hurt_since: Cell<Option<Instant>>,
+    current: Cell<Option<(PendingWait, Instant)>>,
+    reported: Cell<Option<PendingWait>>,
+    degraded_since: Cell<Option<Instant>>,
 }
 
 impl RecoveryMonitor {
-    /// Takes the step that was decided by the list of this version.
+    /// Records the step that was decided on this version of the member list. Logs its wait
+    /// reason once it has lasted for the report delay.
     pub fn observe_step(
         &self,
         step: &MembershipStep,
@@ -40,42 +41,42 @@
     ) {
         let waiting = match step {
             MembershipStep::Wait(waiting) => *waiting,
-            // It makes the step itself.
+            // This store makes the step itself.
             MembershipStep::Change(_) | MembershipStep::StartLeaving(_) => WaitReason::FirstMember,
         };
-        self.measure(waiting);
-        let wait = Wait {
+        self.update_metrics(waiting);
+        let wait = PendingWait {
             waiting,
             members_version,
         };
         let current = self.current.get().filter(|(current, _)| *current == wait);
         let (_, since) = current.unwrap_or((wait, Instant::now()));
         self.current.set(Some((wait, since)));
-        let is_told = match self.told.get() {
-            Some(told) => told == wait,
+        let is_reported = match self.reported.get() {
+            Some(reported) => reported == wait,
             None => waiting == WaitReason::Nothing,
         };
-        if is_told || since.elapsed() < TELL_AFTER {
+        if is_reported || since.elapsed() < REPORT_DELAY {
             return;
         }
-        self.told.set(Some(wait));
+        self.reported.set(Some(wait));
         let detail = format!("waits_for={waiting} version={members_version} {}", counts());
         observe::event(Event::ListWaits, &detail);
     }
 
-    /// Measures from the moment at which something is missing to the one at which the
-    /// list is settled and all its members are there.
-    fn measure(&self, waiting: WaitReason) {
+    /// Updates the group's health metric and, once the list is settled and all members are
+    /// live, the recovery time.
+    fn update_metrics(&self, waiting: WaitReason) {
         let metrics = observe::metrics();
-        let whole = matches!(waiting, WaitReason::Nothing | WaitReason::Room);
-        metrics.group_whole.set(i64::from(whole));
-        match (whole, self.hurt_since.get()) {
+        let is_healthy = matches!(waiting, WaitReason::Nothing | WaitReason::Room);
+        metrics.group_whole.set(i64::from(is_healthy));
+        match (is_healthy, self.degraded_since.get()) {
             (true, Some(since)) => {
                 let seconds = since.elapsed().as_secs_f64();
                 metrics.heal_seconds.observe(seconds);
-                self.hurt_since.set(None);
+                self.degraded_since.set(None);
             }
-            (false, None) => self.hurt_since.set(Some(Instant::now())),
+            (false, None) => self.degraded_since.set(Some(Instant::now())),
             (true, None) | (false, Some(_)) => {}
         }
     }
--- a/crates/stageyoke-store/src/replica_latency.rs
+++ b/crates/stageyoke-store/src/replica_latency.rs
@@ -1,9 +1,8 @@
-//! How long replicas of plain services take, as all fronts together see it. A front
-//! alone sees each replica too seldom (with 73 fronts and 27 replicas once in 1.7 s) to
-//! find one slow before the fault is over; all of them see it some 30 times a second.
+//! Latency of the replicas of plain services, pooled over all fronts. A single front sees
+//! each replica too rarely to detect a slow one before the fault is over.
 //!
-//! Load that it answers: a part of a service's replicas takes several times as long,
-//! for seconds. A hint, as all that fronts tell of replicas.
+//! Covers faults in which some of a service's replicas are several times slower for a few
+//! seconds. The results are hints for placement.
 
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -17,240 +16,257 @@
 use crate::extension::Deviation;
 use crate::message::{LatencyEntry, SlowReplica};
 
-/// Replicas in one message.
-const MOST_TOLD: usize = 64;
-/// Replicas whose answers a store remembers, some 40 bytes each.
-const MOST_REPLICAS: usize = 20_000;
-/// Hundredths of a logarithm, as messages tell it.
-pub(crate) const HUNDREDTHS: f64 = 100.0;
-/// Answers fade with this time: some ten of a replica are left of it, and a replica
-/// that has recovered is found out as soon.
-const FADE: Duration = Duration::from_millis(700);
-/// Turns at engines fade with this time: an engine's build stays, and one that turns slow
-/// or recovers shall be found out within seconds.
-const ENGINE_FADE: Duration = Duration::from_secs(2);
-/// An engine counts as if so many turns of an ordinary one had been seen of it as well:
-/// few turns tell little.
-const ORDINARY_TURNS: f64 = 3.0;
-/// Answers from which on a replica is judged: single ones take several times as long
-/// as others at sound replicas too.
-const ENOUGH: f64 = 3.0;
-/// Answers down to which a replica that was slow still is: it gets few calls then.
-const ENOUGH_TO_STAY: f64 = 0.5;
-/// A replica is slow from this many times the time of the others on.
-const SLOW: f64 = 1.8;
-/// Part of the replicas that are faster than the one that others are compared with:
-/// most of them may be slow at once.
-const USUAL_PART: f64 = 0.25;
-/// What was heard of slow replicas counts for this long.
-const HEARD_LIFE: Duration = Duration::from_millis(1000);
+/// Maximum number of replicas in one message.
+const MAX_REPORTED_REPLICAS: usize = 64;
+/// Maximum number of replicas that a store tracks, about 40 bytes each.
+const MAX_TRACKED_REPLICAS: usize = 20_000;
+/// Scale of logarithms in messages, which carry hundredths.
+pub(crate) const LOG_RATIO_SCALE: f64 = 100.0;
+/// Decay time of recorded response times: short enough to detect a recovery quickly, long
+/// enough to retain about ten samples of a replica.
+const DECAY_TIME: Duration = Duration::from_millis(700);
+/// Decay time for turns at engines: an engine's speed rarely changes, but a change should be
+/// detected within seconds.
+const ENGINE_DECAY_TIME: Duration = Duration::from_secs(2);
+/// Weight of the prior that an engine is of average speed, in turns: few turns are weak
+/// evidence.
+const PRIOR_TURNS: f64 = 3.0;
+/// Minimum number of answers for judging a replica: single slow answers occur at healthy
+/// replicas too.
+const MIN_ANSWERS: f64 = 3.0;
+/// Minimum number of answers for a replica to stay marked as slow. Lower, since a slow
+/// replica gets few requests.
+const MIN_ANSWERS_TO_STAY_SLOW: f64 = 0.5;
+/// Slowdown at which a replica counts as slow.
+const SLOW_THRESHOLD: f64 = 1.8;
+/// Quantile of the replicas' latencies that serves as the baseline. Low, since most replicas
+/// may be slow at the same time.
+const BASELINE_QUANTILE: f64 = 0.25;
+/// Time for which a reported slowdown is used.
+const SLOWDOWN_TTL: Duration = Duration::from_millis(1000);
 
+/// Sum of the logarithms of latency ratios, and the number of answers in it.
 #[derive(Clone, Copy, Debug, Default)]
-struct Answers {
+struct RatioSum {
     log_ratio: f64,
     count: f64,
 }
 
-/// Times of a front's answers that are still to be told, to each store group.
+/// A front's response times that it still has to report, by store group.
 #[derive(Debug, Default)]
 pub struct UnreportedLatencies {
-    groups: RefCell<HashMap<GroupNumber, HashMap<u32, Answers>>>,
+    groups: RefCell<HashMap<GroupNumber, HashMap<u32, RatioSum>>>,
 }
 
 impl UnreportedLatencies {
-    /// An answer took so many times as long as such answers usually do.
+    /// Records the ratio of a response time to the expected one.
     pub fn record(&self, replica: u32, ratio: f64) {
         let mut groups = self.groups.borrow_mut();
-        for untold in groups.values_mut() {
-            if untold.len() >= MOST_TOLD && !untold.contains_key(&replica) {
+        for unreported in groups.values_mut() {
+            if unreported.len() >= MAX_REPORTED_REPLICAS && !unreported.contains_key(&replica) {
                 continue;
             }
-            let answers = untold.entry(replica).or_default();
+            let answers = unreported.entry(replica).or_default();
             answers.log_ratio += ratio.ln();
             answers.count += 1.0;
         }
     }
 
-    /// What this group has not been told yet.
+    /// Returns the response times that this group has not received yet, and clears them.
     pub fn take(&self, group: GroupNumber) -> List<LatencyEntry> {
         let mut groups = self.groups.borrow_mut();
-        let untold = std::mem::take(groups.entry(group).or_default());
-        let entries = untold.into_iter().map(|(replica, answers)| LatencyEntry {
-            replica,
-            log_ratio: (answers.log_ratio * HUNDREDTHS) as i32,
-            answers: answers.count as u16,
-        });
+        let unreported = std::mem::take(groups.entry(group).or_default());
+        let entries = unreported
+            .into_iter()
+            .map(|(replica, answers)| LatencyEntry {
+                replica,
+                log_ratio: (answers.log_ratio * LOG_RATIO_SCALE) as i32,
+                answers: answers.count as u16,
+            });
         entries.collect()
     }
 }
 
-/// What a front has heard of slow replicas.
+/// Slow replicas that stores have reported to a front.
 #[derive(Debug, Default)]
 pub struct ReceivedSlowdowns {
     slow: RefCell<HashMap<u32, (f64, Instant)>>,
 }
 
 impl ReceivedSlowdowns {
-    /// A store has told of these.
+    /// Applies a store's report on slow replicas.
     pub fn apply_report(&self, slow: &[SlowReplica]) {
-        let mut heard = self.slow.borrow_mut();
-        heard.retain(|_, (_, at)| at.elapsed() < HEARD_LIFE);
+        let mut received = self.slow.borrow_mut();
+        received.retain(|_, (_, at)| at.elapsed() < SLOWDOWN_TTL);
         for replica in slow {
-            let times = f64::from(replica.slowdown_tenths) / 10.0;
-            heard.insert(replica.replica, (times, Instant::now()));
+            let slowdown = f64::from(replica.slowdown_tenths) / 10.0;
+            received.insert(replica.replica, (slowdown, Instant::now()));
         }
     }
 
-    /// How many times as long as others a replica takes; 1 where nothing is known.
+    /// Slowdown of a replica relative to the baseline; 1 if unknown.
     pub fn slowdown(&self, replica: u32) -> f64 {
-        let heard = self.slow.borrow();
-        let known = heard.get(&replica);
-        let known = known.filter(|(_, at)| at.elapsed() < HEARD_LIFE);
-        known.map_or(1.0, |(times, _)| *times)
+        let received = self.slow.borrow();
+        let known = received.get(&replica);
+        let known = known.filter(|(_, at)| at.elapsed() < SLOWDOWN_TTL);
+        known.map_or(1.0, |(slowdown, _)| *slowdown)
     }
 }
 
-/// A store's collection of what fronts tell.
+/// Latencies by replica that a store has collected from fronts.
 #[derive(Debug)]
 pub struct LatencyStats {
-    replicas: HashMap<u32, Told>,
-    fade: Duration,
+    replicas: HashMap<u32, ReplicaStats>,
+    decay_time: Duration,
 }
 
 impl Default for LatencyStats {
-    /// Of replicas of plain services.
+    /// Creates statistics for replicas of plain services.
     fn default() -> Self {
         Self {
             replicas: HashMap::new(),
-            fade: FADE,
+            decay_time: DECAY_TIME,
         }
     }
 }
 
-/// What was told of one replica.
+/// Statistics of one replica.
 #[derive(Clone, Copy, Debug, Default)]
-struct Told {
-    answers: Answers,
-    at: Option<Instant>,
+struct ReplicaStats {
+    answers: RatioSum,
+    updated_at: Option<Instant>,
     slow: bool,
 }
 
-impl Told {
-    fn now(&self, now: Instant, fade: Duration) -> Answers {
-        faded(self.answers, self.at, now, fade)
+impl ReplicaStats {
+    fn decayed_answers(&self, now: Instant, decay_time: Duration) -> RatioSum {
+        decayed(self.answers, self.updated_at, now, decay_time)
     }
 
-    /// The mean logarithm, where enough answers tell it.
-    fn mean(&self, now: Instant, fade: Duration) -> Option<f64> {
-        let answers = self.now(now, fade);
-        let enough = if self.slow { ENOUGH_TO_STAY } else { ENOUGH };
-        (answers.count >= enough).then(|| answers.log_ratio / answers.count)
+    /// Mean logarithm of the ratio; `None` with too few answers.
+    fn mean(&self, now: Instant, decay_time: Duration) -> Option<f64> {
+        let answers = self.decayed_answers(now, decay_time);
+        let min_answers = if self.slow {
+            MIN_ANSWERS_TO_STAY_SLOW
+        } else {
+            MIN_ANSWERS
+        };
+        (answers.count >= min_answers).then(|| answers.log_ratio / answers.count)
     }
 }
 
 impl LatencyStats {
-    /// Of engines.
+    /// Creates statistics for engines.
     pub fn for_engines() -> Self {
         Self {
-            fade: ENGINE_FADE,
+            decay_time: ENGINE_DECAY_TIME,
             ..Self::default()
         }
     }
 
-    /// Takes what a front tells.
+    /// Adds the response times that a front reports.
     pub fn add(&mut self, entries: &[LatencyEntry]) {
         let now = Instant::now();
         for entry in entries {
-            if self.replicas.len() >= MOST_REPLICAS && !self.replicas.contains_key(&entry.replica) {
-                self.forget_faded(now);
+            if self.replicas.len() >= MAX_TRACKED_REPLICAS
+                && !self.replicas.contains_key(&entry.replica)
+            {
+                self.remove_decayed(now);
             }
-            let told = self.replicas.entry(entry.replica).or_default();
-            told.answers = told.now(now, self.fade);
-            told.answers.log_ratio += f64::from(entry.log_ratio) / HUNDREDTHS;
-            told.answers.count += f64::from(entry.answers);
-            told.at = Some(now);
+            let stats = self.replicas.entry(entry.replica).or_default();
+            stats.answers = stats.decayed_answers(now, self.decay_time);
+            stats.answers.log_ratio += f64::from(entry.log_ratio) / LOG_RATIO_SCALE;
+            stats.answers.count += f64::from(entry.answers);
+            stats.updated_at = Some(now);
         }
     }
 
-    /// Replicas that take longer than the others now.
+    /// Replicas that are currently slower than the baseline.
     pub fn slow_replicas(&mut self) -> List<SlowReplica> {
         let now = Instant::now();
         let means = self
             .replicas
             .values()
-            .filter_map(|told| told.mean(now, self.fade));
+            .filter_map(|stats| stats.mean(now, self.decay_time));
         let mut means: Vec<f64> = means.collect();
         means.sort_by(f64::total_cmp);
-        let usual = (means.len() as f64 * USUAL_PART) as usize;
-        let Some(usual) = means.get(usual).copied() else {
+        let baseline = (means.len() as f64 * BASELINE_QUANTILE) as usize;
+        let Some(baseline) = means.get(baseline).copied() else {
             return List::default();
         };
         let mut slow = Vec::new();
-        for (replica, told) in &mut self.replicas {
-            let times = told.mean(now, self.fade).map(|mean| (mean - usual).exp());
-            told.slow = times.is_some_and(|times| times >= SLOW);
-            if let (true, Some(times)) = (told.slow, times) {
+        for (replica, stats) in &mut self.replicas {
+            let slowdown = stats
+                .mean(now, self.decay_time)
+                .map(|mean| (mean - baseline).exp());
+            stats.slow = slowdown.is_some_and(|slowdown| slowdown >= SLOW_THRESHOLD);
+            if let (true, Some(slowdown)) = (stats.slow, slowdown) {
                 slow.push(SlowReplica {
                     replica: *replica,
-                    slowdown_tenths: (times * 10.0) as u16,
+                    slowdown_tenths: (slowdown * 10.0) as u16,
                 });
             }
         }
         slow.sort_by_key(|slow| std::cmp::Reverse(slow.slowdown_tenths));
-        slow.truncate(MOST_TOLD);
+        slow.truncate(MAX_REPORTED_REPLICAS);
         List(slow)
     }
 
-    /// How far replicas lie from the middle of all, those that do so most first.
+    /// Deviations of replicas from the median, the largest first.
     pub fn deviations(&self) -> List<Deviation> {
         let now = Instant::now();
         let known = self.replicas.iter();
-        let known = known.filter_map(|(replica, told)| {
-            let mean = told.mean(now, self.fade)?;
-            Some((*replica, mean, told.now(now, self.fade).count))
+        let known = known.filter_map(|(replica, stats)| {
+            let mean = stats.mean(now, self.decay_time)?;
+            Some((
+                *replica,
+                mean,
+                stats.decayed_answers(now, self.decay_time).count,
+            ))
         });
         let mut known: Vec<(u32, f64, f64)> = known.collect();
         known.sort_by(|(_, one, _), (_, other, _)| one.total_cmp(other));
-        let Some((_, middle, _)) = known.get(known.len() / 2).copied() else {
+        let Some((_, median, _)) = known.get(known.len() / 2).copied() else {
             return List::default();
         };
         let deviations = known.into_iter().map(|(replica, mean, count)| {
-            let certainty = count / (count + ORDINARY_TURNS);
+            let weight = count / (count + PRIOR_TURNS);
             Deviation {
                 replica,
-                log_ratio: ((mean - middle) * certainty * HUNDREDTHS) as i16,
+                log_ratio: ((mean - median) * weight * LOG_RATIO_SCALE) as i16,
             }
         });
         let mut deviations: Vec<Deviation> = deviations.collect();
         deviations.sort_by_key(|deviation| Reverse(deviation.log_ratio.unsigned_abs()));
-        deviations.truncate(MOST_TOLD);
+        deviations.truncate(MAX_REPORTED_REPLICAS);
         List(deviations)
     }
 
-    /// Replicas that are remembered.
+    /// Number of tracked replicas.
     pub fn len(&self) -> usize {
         self.replicas.len()
     }
 
-    /// Whether none is.
+    /// Returns true if no replica is tracked.
     pub fn is_empty(&self) -> bool {
         self.replicas.is_empty()
     }
 
-    fn forget_faded(&mut self, now: Instant) {
-        self.replicas
-            .retain(|_, told| told.now(now, self.fade).count >= ENOUGH_TO_STAY);
-        if self.replicas.len() >= MOST_REPLICAS {
+    fn remove_decayed(&mut self, now: Instant) {
+        self.replicas.retain(|_, stats| {
+            stats.decayed_answers(now, self.decay_time).count >= MIN_ANSWERS_TO_STAY_SLOW
+        });
+        if self.replicas.len() >= MAX_TRACKED_REPLICAS {
             self.replicas.clear();
         }
     }
 }
 
-fn faded(answers: Answers, at: Option<Instant>, now: Instant, fade: Duration) -> Answers {
-    let passed = at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-    let kept = (-passed.as_secs_f64() / fade.as_secs_f64()).exp();
-    Answers {
-        log_ratio: answers.log_ratio * kept,
-        count: answers.count * kept,
+fn decayed(answers: RatioSum, at: Option<Instant>, now: Instant, decay_time: Duration) -> RatioSum {
+    let elapsed = at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
+    let remaining = (-elapsed.as_secs_f64() / decay_time.as_secs_f64()).exp();
+    RatioSum {
+        log_ratio: answers.log_ratio * remaining,
+        count: answers.count * remaining,
     }
 }
--- a/crates/stageyoke-store/src/spare.rs
+++ b/crates/stageyoke-store/src/spare.rs
@@ -1,5 +1,4 @@
-//! A store that is a member of no group looks for the one that needs it: it asks
-//! all members whether they are there.
+//! Lets a spare find the group that needs it, by pinging the members of all groups.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -14,42 +13,42 @@
 use crate::client::StoreClient;
 use crate::message::Request;
 
-/// Pause between two rounds of asking.
-const ROUND_PAUSE: Duration = Duration::from_millis(1000);
-/// Time for an answer.
-const ANSWER_WITHIN: Duration = Duration::from_millis(700);
-/// A member that has not answered for this long is taken as lost: two rounds
-/// and a bit. It stays a member until its peers remove it.
+/// Interval between two rounds of pings.
+const PROBE_INTERVAL: Duration = Duration::from_millis(1000);
+/// Time limit for a ping.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
+/// Time after which an unresponsive member counts as lost: slightly more than two rounds. It
+/// stays a member until its peers remove it.
 pub const LOST_MEMBER_TIMEOUT: Duration = Duration::from_millis(2300);
 
-/// A process that has just started may be a spare as soon as it knows the groups; in a
-/// group that can't serve without it each second counts.
-const STARTING: Duration = Duration::from_secs(3);
-const STARTING_PAUSE: Duration = Duration::from_millis(100);
+/// Period after the start in which the store checks more often whether it is a spare: a group
+/// that can't serve without it should not wait.
+const STARTUP_PERIOD: Duration = Duration::from_secs(3);
+const STARTUP_PROBE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a member may be silent before a spare takes its place: half of the time
-/// that the group has to heal, so that the change itself has the other half, and no
-/// longer than a survey needs.
+/// Time after which a spare may replace an unresponsive member: half of the recovery time of
+/// the group, which leaves the other half for the change, and at most the time that the pings
+/// need to detect a loss.
 pub fn replacement_timeout(catch_up: Duration) -> Duration {
     LOST_MEMBER_TIMEOUT.min(catch_up / 2)
 }
 
-struct Asked {
+struct ProbedMember {
     client: StoreClient,
     since: Instant,
     answered_at: Cell<Option<Instant>>,
 }
 
-/// What a spare knows of the members of all groups.
+/// Responsiveness of the members of all groups, as a spare sees it.
 #[derive(Default)]
 pub struct MemberProber {
-    asked: RefCell<HashMap<Text, Rc<Asked>>>,
-    asked_since: Cell<Option<Instant>>,
+    probed: RefCell<HashMap<Text, Rc<ProbedMember>>>,
+    probing_since: Cell<Option<Instant>>,
 }
 
 impl MemberProber {
-    /// The group that needs the store on this machine most. `None` before all members have had
-    /// the time to answer, or if none does.
+    /// Returns the group that needs the store `node` most; `None` if no group needs it or if
+    /// members have not had time to answer yet.
     pub fn group_in_need(
         &self,
         stores: &StoreGroups,
@@ -59,90 +58,90 @@
         if stores.groups.len() > 1 && !self.has_probed_all() {
             return None;
         }
-        select_group_for_spare(stores, size, node, |member| self.lives(member))
+        select_group_for_spare(stores, size, node, |member| self.is_alive(member))
     }
 
-    fn lives(&self, member: &Member) -> bool {
+    fn is_alive(&self, member: &Member) -> bool {
         self.silent_for(&member.node) < LOST_MEMBER_TIMEOUT
     }
 
-    /// How long the member on this machine has not answered this spare's questions.
+    /// Time since the member on this machine last answered a ping.
     pub fn silent_for(&self, node: &str) -> Duration {
-        let asked = self.asked.borrow();
-        let heard_at = asked
+        let probed = self.probed.borrow();
+        let last_answer_at = probed
             .get(node)
-            .map(|asked| asked.answered_at.get().unwrap_or(asked.since));
-        // One that has just joined has not been asked yet: it was there then.
-        heard_at.map_or(Duration::ZERO, |at| at.elapsed())
+            .map(|probed| probed.answered_at.get().unwrap_or(probed.since));
+        // A member that has just joined has not been pinged yet and counts as live.
+        last_answer_at.map_or(Duration::ZERO, |at| at.elapsed())
     }
 
-    /// Whether the member on this machine has had the time to answer, and never has.
+    /// Checks whether the member on this machine has had time to answer a ping and never did.
     pub fn has_never_answered(&self, node: &str) -> bool {
-        let asked = self.asked.borrow();
-        asked.get(node).is_some_and(|asked| {
-            asked.answered_at.get().is_none() && asked.since.elapsed() >= ANSWER_WITHIN
+        let probed = self.probed.borrow();
+        probed.get(node).is_some_and(|probed| {
+            probed.answered_at.get().is_none() && probed.since.elapsed() >= PROBE_TIMEOUT
         })
     }
 
-    /// Whether every member has had the time to answer.
+    /// Checks whether every member has had time to answer.
     pub fn has_probed_all(&self) -> bool {
-        let since = self.asked_since.get();
+        let since = self.probing_since.get();
         since.is_some_and(|since| since.elapsed() >= LOST_MEMBER_TIMEOUT)
     }
 
-    /// Asks all members once, without waiting, unless that was done just now.
-    /// Needs a local task set.
+    /// Pings all members once without waiting for the answers. Needs a local task set.
     pub fn probe_members(&self, stores: &StoreGroups) {
-        let mut asked = self.asked.borrow_mut();
-        asked.retain(|node, asked| {
+        let mut probed = self.probed.borrow_mut();
+        probed.retain(|node, probed| {
             let mut members = stores.members();
             members.any(|member| {
-                member.node == *node && member.address.as_str() == asked.client.address()
+                member.node == *node && member.address.as_str() == probed.client.address()
             })
         });
         for member in stores.members() {
-            let asked = asked.entry(member.node.clone()).or_insert_with(|| {
-                Rc::new(Asked {
+            let probed = probed.entry(member.node.clone()).or_insert_with(|| {
+                Rc::new(ProbedMember {
                     client: StoreClient::new(&member.address),
                     since: Instant::now(),
                     answered_at: Cell::new(None),
                 })
             });
-            let asked = asked.clone();
+            let probed = probed.clone();
             tokio::task::spawn_local(async move {
-                if asked
+                if probed
                     .client
-                    .call(Request::Ping, ANSWER_WITHIN)
+                    .call(Request::Ping, PROBE_TIMEOUT)
                     .await
                     .is_ok()
                 {
-                    asked.answered_at.set(Some(Instant::now()));
+                    probed.answered_at.set(Some(Instant::now()));
                 }
             });
         }
     }
 
-    /// Asks regularly while `spare` says that this store is one.
+    /// Pings at regular intervals while `spare` returns the store groups, that is while this
+    /// store is a spare.
     pub async fn run(&self, spare: impl Fn() -> Option<Rc<StoreGroups>>) {
         let started = Instant::now();
         loop {
             match spare() {
                 Some(stores) => {
-                    if self.asked_since.get().is_none() {
-                        self.asked_since.set(Some(Instant::now()));
+                    if self.probing_since.get().is_none() {
+                        self.probing_since.set(Some(Instant::now()));
                     }
                     self.probe_members(&stores);
                 }
                 None => {
-                    self.asked_since.set(None);
-                    self.asked.borrow_mut().clear();
+                    self.probing_since.set(None);
+                    self.probed.borrow_mut().clear();
                 }
             }
-            let pause = match self.asked_since.get() {
-                None if started.elapsed() < STARTING => STARTING_PAUSE,
-                _ => ROUND_PAUSE,
+            let delay = match self.probing_since.get() {
+                None if started.elapsed() < STARTUP_PERIOD => STARTUP_PROBE_INTERVAL,
+                _ => PROBE_INTERVAL,
             };
-            tokio::time::sleep(pause).await;
+            tokio::time::sleep(delay).await;
         }
     }
 }
