--- a/crates/stageyoke-store/src/wait_reason.rs
+++ b/crates/stageyoke-store/src/wait_reason.rs
@@ -1,5 +1,5 @@
-//! What a store waits for when it makes no step in the list of its group, with the
-//! counts that decide, for the log.
+//! Reasons why a store makes no membership step, with the member counts behind the decision,
+//! for the log.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,30 +9,30 @@
 
 use crate::membership::{LocalMember, PeerHealth};
 
-/// What a store waits for.
+/// Reason why a store makes no membership step: what it waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitReason {
-    /// Nothing: the list is settled, and all its members are there.
+    /// Nothing: the member list is settled and all members respond.
     Nothing,
-    /// Its own disk may lack something: as many complete members, by the list of
-    /// today, as every write quorum meets.
+    /// Completeness of the local disk: enough complete members of the current list to
+    /// intersect every write quorum.
     Completeness,
-    /// It holds not yet all that the members of today's list hold.
+    /// Local copies of all records that the members of the current list hold.
     CatchUp,
-    /// The group needs no further member.
+    /// A vacancy: the group needs no further member.
     Room,
-    /// A store that wants to join: the change under way.
+    /// The end of the pending change, for a store that wants to join.
     Settling,
-    /// Another member makes the step.
+    /// The step of another member.
     FirstMember,
-    /// So many members before, complete, that go by the change under way, that every
-    /// quorum before is met.
+    /// Enough complete members of the old list that use the joint list to intersect every old
+    /// quorum.
     Fence,
-    /// A write quorum of the new members that holds what the fence held.
+    /// A write quorum of the new members that holds everything that the fenced members held.
     Holders,
-    /// A member is silent: its return, or a successor.
+    /// The return of an unresponsive member, or its successor.
     Successor,
-    /// It is to leave: enough others that could serve without it.
+    /// Enough other live members to serve after this one has left.
     OthersToServe,
 }
 
@@ -60,50 +60,51 @@
     silent_for: Duration,
 }
 
-/// The counts that a step is decided by.
+/// Member counts that a step is decided on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberCounts {
-    /// Members of the list, and before the change under way.
-    members: Living,
-    before: Living,
-    /// Members of the list that hold what the fence held, with this store.
+    /// Members of the current list and of the list before the pending change.
+    members: LiveCounts,
+    before: LiveCounts,
+    /// Members of the current list that hold everything that the fenced members held,
+    /// including this store.
     holding: usize,
     silent: Vec<SilentMember>,
 }
 
-/// Members of one list.
+/// Counts of one member list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Living {
+struct LiveCounts {
     all: usize,
     living: usize,
-    /// A write quorum; nought where there is none.
+    /// Size of a write quorum; 0 if there is none.
     needed: usize,
 }
 
 impl MemberCounts {
-    /// By what a store knows of the others.
+    /// Counts the members by what this store knows of its peers.
     pub fn new(
         members: &Members,
-        oneself: &LocalMember,
+        local: &LocalMember,
         peers: &[PeerHealth],
         tolerance: &Tolerance,
     ) -> Self {
         let peer = |node: &str| peers.iter().find(|peer| peer.node.as_str() == node);
-        let lives = |node: &str| {
+        let is_live = |node: &str| {
             let peer = peer(node);
-            peer.is_none_or(|peer| peer.silent_for <= oneself.replacement_timeout)
+            peer.is_none_or(|peer| peer.silent_for <= local.replacement_timeout)
         };
-        let count = |list: &[Member]| Living {
+        let count = |list: &[Member]| LiveCounts {
             all: list.len(),
-            living: list.iter().filter(|member| lives(&member.node)).count(),
+            living: list.iter().filter(|member| is_live(&member.node)).count(),
             needed: write_quorum(list, tolerance).unwrap_or_default(),
         };
         let holds = |node: &str| match peer(node) {
             Some(peer) => peer.caught_up,
-            None => node == oneself.entry.node.as_str(),
+            None => node == local.entry.node.as_str(),
         };
         let holding = members.list.iter().filter(|member| holds(&member.node));
-        let silent = peers.iter().filter(|peer| !lives(&peer.node));
+        let silent = peers.iter().filter(|peer| !is_live(&peer.node));
         let silent = silent.map(|peer| SilentMember {
             node: peer.node.clone(),
             silent_for: peer.silent_for,
@@ -119,7 +120,7 @@
 
 impl fmt::Display for MemberCounts {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Living {
+        let LiveCounts {
             all,
             living,
             needed,
@@ -129,7 +130,7 @@
             formatter,
             "members={all} living={living} needed={needed} holding={holding}"
         )?;
-        let Living {
+        let LiveCounts {
             all,
             living,
             needed,
