--- a/crates/stageyoke-front/src/admission.rs
+++ b/crates/stageyoke-front/src/admission.rs
@@ -18,46 +18,46 @@
 use crate::placement::hash_text;
 
 /// Timeout for asking the stores whether a program has started: a few round trips.
-const ASK_WITHIN: Duration = Duration::from_millis(60);
+const STORE_QUERY_TIMEOUT: Duration = Duration::from_millis(60);
 /// Programs retained in memory, at 40 bytes each. The stores know about evicted ones.
 const MAX_STARTED_PROGRAMS: usize = 4096;
 
 /// Bounded set of programs whose turns this front recently dispatched to an engine.
 #[derive(Debug, Default)]
 pub struct StartedPrograms {
-    known: RefCell<HashSet<u64>>,
-    order: RefCell<VecDeque<u64>>,
+    programs: RefCell<HashSet<u64>>,
+    insertion_order: RefCell<VecDeque<u64>>,
 }
 
 impl StartedPrograms {
     /// Marks the program as started, evicting the oldest entry when the set is full.
     pub fn record(&self, program: &str) {
         let key = hash_text(program);
-        if !self.known.borrow_mut().insert(key) {
+        if !self.programs.borrow_mut().insert(key) {
             return;
         }
-        let mut order = self.order.borrow_mut();
+        let mut order = self.insertion_order.borrow_mut();
         order.push_back(key);
         if order.len() > MAX_STARTED_PROGRAMS
             && let Some(oldest) = order.pop_front()
         {
-            self.known.borrow_mut().remove(&oldest);
+            self.programs.borrow_mut().remove(&oldest);
         }
     }
 
     /// Returns whether the program is in the set; an evicted program is not.
     pub fn has_started(&self, program: &str) -> bool {
-        self.known.borrow().contains(&hash_text(program))
+        self.programs.borrow().contains(&hash_text(program))
     }
 
     /// Returns the number of retained programs.
     pub fn len(&self) -> usize {
-        self.known.borrow().len()
+        self.programs.borrow().len()
     }
 
     /// Returns whether no program is retained.
     pub fn is_empty(&self) -> bool {
-        self.known.borrow().is_empty()
+        self.programs.borrow().is_empty()
     }
 }
 
@@ -82,8 +82,12 @@
         let AdmissionDecision::Rejected(after) = contention.decide(order) else {
             return Ok(());
         };
-        let started = self.history.stores.has_started(program, ASK_WITHIN).await;
-        summary.placement = describe(&contention, order, started);
+        let started = self
+            .history
+            .stores
+            .has_started(program, STORE_QUERY_TIMEOUT)
+            .await;
+        summary.placement = describe_contention(&contention, order, started);
         if started != Some(false) {
             return Ok(());
         }
@@ -113,7 +117,7 @@
     }
 }
 
-fn describe(contention: &EngineLoad, order: f64, started: Option<bool>) -> String {
+fn describe_contention(contention: &EngineLoad, order: f64, started: Option<bool>) -> String {
     let EngineLoad {
         slots: places,
         competing_turns: as_urgent,
--- a/crates/stageyoke-front/src/attempt.rs
+++ b/crates/stageyoke-front/src/attempt.rs
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug)]
 pub struct OutboundRequest {
     /// Request identifier that the response must echo.
-    pub request: Text,
+    pub request_id: Text,
     /// Method of the caller's request.
     pub method: Method,
     /// Path and query of the caller's request, unchanged.
@@ -79,14 +79,14 @@
     /// The replica guarantees that the request was not run.
     NotRun(StatusCode),
     /// The replica responded to this request.
-    Answered(Box<ReplicaResponse>),
+    Responded(Box<ReplicaResponse>),
     /// The request may have run, but there is no usable response.
     Lost(&'static str),
 }
 
 /// Removes headers that apply to a single connection.
 pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
-    let listed: Vec<String> = headers
+    let connection_headers: Vec<String> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
@@ -97,7 +97,9 @@
     for (name, value) in headers {
         let dropped = HOP_BY_HOP.contains(name)
             || name == CONTENT_LENGTH
-            || listed.iter().any(|listed| listed == name.as_str());
+            || connection_headers
+                .iter()
+                .any(|listed| listed == name.as_str());
         if !dropped {
             forwarded.append(name.clone(), value.clone());
         }
@@ -147,7 +149,7 @@
     let mut request = build_request(outbound, replica, names);
     loop {
         let limit = replica.idle_limit(outbound.repeatable);
-        let (mut connection, fresh) = match replica.pool.acquire(limit) {
+        let (mut connection, is_new) = match replica.pool.acquire(limit) {
             Some(connection) => (connection, false),
             None => match Connection::open(&replica.record.address).await {
                 Ok(connection) => (connection, true),
@@ -175,7 +177,7 @@
                 return classify_response(outbound, reply, names);
             }
             Err(mut error) => match error.take_message() {
-                Some(unsent) if !fresh => request = unsent,
+                Some(unsent) if !is_new => request = unsent,
                 Some(_) => return AttemptOutcome::NotSent("connection_closed"),
                 None => {
                     if sent.elapsed() >= IMMEDIATE_RESET {
@@ -216,8 +218,8 @@
     outbound: &OutboundRequest,
     names: &ProtocolNames,
 ) {
-    let left = outbound.deadline.saturating_duration_since(Instant::now());
-    let value = HeaderValue::from(left.as_millis().max(1) as u64);
+    let remaining = outbound.deadline.saturating_duration_since(Instant::now());
+    let value = HeaderValue::from(remaining.as_millis().max(1) as u64);
     request.headers_mut().insert(names.deadline.clone(), value);
 }
 
@@ -234,20 +236,20 @@
         return AttemptOutcome::NotRun(status);
     }
     let echoed = head.headers().get(&names.request_id);
-    let own = echoed.is_some_and(|value| value.as_bytes() == outbound.request.as_bytes());
+    let is_own = echoed.is_some_and(|value| value.as_bytes() == outbound.request_id.as_bytes());
     let not_run = head.headers().contains_key(&names.not_run);
-    if not_run && (own || echoed.is_none()) {
+    if not_run && (is_own || echoed.is_none()) {
         tokio::task::spawn_local(drain_connection(*reply));
         return AttemptOutcome::NotRun(status);
     }
-    if !own {
+    if !is_own {
         reply.replica.record(Evidence::Failed);
         return AttemptOutcome::Lost("foreign_answer");
     }
     if head.headers().contains_key(CONTENT_ENCODING) {
         return AttemptOutcome::Lost("encoded_answer");
     }
-    AttemptOutcome::Answered(reply)
+    AttemptOutcome::Responded(reply)
 }
 
 /// Reads the rest of a short response, so that its connection can be reused.
--- a/crates/stageyoke-front/src/authentication.rs
+++ b/crates/stageyoke-front/src/authentication.rs
@@ -76,7 +76,7 @@
 
 impl AuthenticationError {
     /// Returns the cause as logged.
-    pub fn name(self) -> &'static str {
+    pub fn cause(self) -> &'static str {
         match self {
             Self::NoKey => "no_key",
             Self::UnknownKey => "unknown_key",
@@ -86,7 +86,7 @@
 
 impl Caller {
     /// Authenticates the caller of a request on this route.
-    pub fn of(
+    pub fn authenticate(
         routes: &RouteTable,
         route: &Route,
         headers: &HeaderMap,
@@ -94,7 +94,7 @@
         let Some(tenants) = &routes.tenants else {
             return Ok(Self::default());
         };
-        let key = key(headers);
+        let key = bearer_key(headers);
         let holder = key.and_then(|key| tenants.find_by_key(key));
         if holder.is_none() && !route.allows_anonymous {
             return Err(match key {
@@ -110,15 +110,15 @@
 
     /// Returns the rank of a request on this route, 0 being the highest.
     pub fn priority(&self, route: &Route) -> u8 {
-        let own = self.tenant.as_ref().and_then(|tenant| tenant.priority);
-        own.unwrap_or(route.priority)
+        let tenant_rank = self.tenant.as_ref().and_then(|tenant| tenant.priority);
+        tenant_rank.unwrap_or(route.priority)
     }
 
     /// Returns the order of a request in the engines' queues, 0 being first: by the
     /// tenant's rank, and among tenants of equal rank by the route's.
     pub fn order(&self, route: &Route) -> u8 {
-        let own = self.priority(route).min(MAX_TENANT_RANK);
-        own * ROUTE_RANKS + route.priority.min(ROUTE_RANKS - 1)
+        let tenant_rank = self.priority(route).min(MAX_TENANT_RANK);
+        tenant_rank * ROUTE_RANKS + route.priority.min(ROUTE_RANKS - 1)
     }
 
     /// Returns the urgency to send to an engine: the order of the request, limited to the
@@ -132,13 +132,13 @@
         ordered: bool,
     ) -> Option<u8> {
         service.engine.as_ref()?;
-        let own = self.tenant.as_ref().and_then(|tenant| tenant.priority);
-        (ordered || own.is_some()).then(|| self.order(route).min(scale.least_urgent))
+        let tenant_rank = self.tenant.as_ref().and_then(|tenant| tenant.priority);
+        (ordered || tenant_rank.is_some()).then(|| self.order(route).min(scale.least_urgent))
     }
 }
 
 /// Returns the key of a request that carries exactly one.
-fn key(headers: &HeaderMap) -> Option<&[u8]> {
+fn bearer_key(headers: &HeaderMap) -> Option<&[u8]> {
     let mut values = headers.get_all(AUTHORIZATION).iter();
     let value = values.next()?.as_bytes();
     if values.next().is_some() {
@@ -147,6 +147,6 @@
     let (scheme, rest) = value.split_at_checked(KEY_SCHEME.len())?;
     let key = rest.trim_ascii();
     let separated = rest.first().is_some_and(u8::is_ascii_whitespace);
-    let named = scheme.eq_ignore_ascii_case(KEY_SCHEME.as_bytes());
-    (named && separated && !key.is_empty()).then_some(key)
+    let is_bearer = scheme.eq_ignore_ascii_case(KEY_SCHEME.as_bytes());
+    (is_bearer && separated && !key.is_empty()).then_some(key)
 }
--- a/crates/stageyoke-front/src/baseline_latency.rs
+++ b/crates/stageyoke-front/src/baseline_latency.rs
@@ -41,15 +41,15 @@
     }
 
     /// Adds the latency of a response and returns its ratio to the baseline before.
-    pub fn record_slowdown(&self, route: &Text, took: Duration) -> f64 {
-        let time = took.max(MIN_LATENCY).as_secs_f64().ln();
+    pub fn record_slowdown(&self, route: &Text, latency: Duration) -> f64 {
+        let logarithm = latency.max(MIN_LATENCY).as_secs_f64().ln();
         let mut logarithms = self.logarithms.borrow_mut();
         if logarithms.len() >= MAX_ROUTES && !logarithms.contains_key(route) {
             logarithms.clear();
         }
-        let baseline = logarithms.entry(route.clone()).or_insert(time);
-        let slowdown = (time - *baseline).exp();
-        *baseline += match time > *baseline {
+        let baseline = logarithms.entry(route.clone()).or_insert(logarithm);
+        let slowdown = (logarithm - *baseline).exp();
+        *baseline += match logarithm > *baseline {
             true => LOGARITHM_STEP * BASELINE_QUANTILE,
             false => -LOGARITHM_STEP * (1.0 - BASELINE_QUANTILE),
         };
--- a/crates/stageyoke-front/src/bootstrap.rs
+++ b/crates/stageyoke-front/src/bootstrap.rs
@@ -23,12 +23,12 @@
     if stores.is_empty() {
         return;
     }
-    let mut next = rand::random_range(0..stores.len());
+    let mut index = rand::random_range(0..stores.len());
     while mirror.last_contact().is_none() {
-        let client = StoreClient::new(&stores[next]);
-        next = (next + 1) % stores.len();
+        let client = StoreClient::new(&stores[index]);
+        index = (index + 1) % stores.len();
         let items = match client.call(Request::Items, STORE_TIMEOUT).await {
-            Ok(Reply::Items(seen)) => seen.into_iter().map(from_directory_item).collect(),
+            Ok(Reply::Items(relayed)) => relayed.into_iter().map(from_directory_item).collect(),
             Ok(_) | Err(_) => Vec::new(),
         };
         let count = items.len();
--- a/crates/stageyoke-front/src/connection_pool.rs
+++ b/crates/stageyoke-front/src/connection_pool.rs
@@ -56,8 +56,8 @@
     }
 
     fn is_reusable(&self) -> bool {
-        let lifetime = self.keep_alive.saturating_sub(KEEP_ALIVE_MARGIN);
-        self.sender.is_ready() && self.idle_time() < lifetime
+        let max_idle = self.keep_alive.saturating_sub(KEEP_ALIVE_MARGIN);
+        self.sender.is_ready() && self.idle_time() < max_idle
     }
 
     /// Returns the time since the last response.
--- a/crates/stageyoke-front/src/dispatch.rs
+++ b/crates/stageyoke-front/src/dispatch.rs
@@ -27,11 +27,11 @@
 /// single replica may reject for a reason of its own.
 const MIN_IDLE_REJECTIONS: usize = 2;
 /// Outcome of an attempt whose response is overdue.
-const NO_ANSWER: &str = "no_answer";
+const OVERDUE: &str = "no_answer";
 /// Outcome of a plain response that was truncated.
 const TRUNCATED: &str = "answer_broke_off";
 /// Maximum size of a plain response.
-const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 impl<S: KeyValueService + 'static, I: Interpreter + 'static> Front<S, I> {
     /// Sends the request to one replica after another until one responds or no further
@@ -60,7 +60,7 @@
             summary.placement = chosen.explanation;
             let replica = chosen.replica;
             excluded.push(replica.id.clone());
-            let placement = placement_at(context, &replica);
+            let placement = build_placement(context, &replica);
             if let Some(reservation) = reservation
                 && reported.map(|reported| reported.replica) != Some(placement.replica)
             {
@@ -69,35 +69,38 @@
             }
             set_may_have_run(reservation, true);
             let sent = Instant::now();
-            let sending = attempt::send(&context.outbound, &replica, &self.names);
-            let may_try_another = runs + 1 < max_runs;
+            let response = attempt::send(&context.outbound, &replica, &self.names);
+            let may_retry_elsewhere = runs + 1 < max_runs;
             summary.pending = replica.id.to_string();
-            let another = || may_try_another && self.choose(context, &excluded).is_some();
-            let outcome = self.await_answer(context, sending, another).await;
+            let has_alternative =
+                || may_retry_elsewhere && self.choose(context, &excluded).is_some();
+            let outcome = self
+                .await_response(context, response, has_alternative)
+                .await;
             summary.pending.clear();
             let cause = match outcome {
-                Err(AttemptTimeout::TryAnother) => {
+                Err(AttemptTimeout::Overdue) => {
                     self.record_latency(context, &replica, sent);
                     replica.record(Evidence::Lost);
-                    NO_ANSWER
+                    OVERDUE
                 }
-                Err(AttemptTimeout::Deadline) => {
+                Err(AttemptTimeout::DeadlineExceeded) => {
                     record_attempt(summary, &replica.id, "time_out");
                     self.record_latency(context, &replica, sent);
                     return Err(Failure::permanent(ErrorKind::DeadlineExceeded, "time_out"));
                 }
-                Ok(AttemptOutcome::Answered(answer)) => {
+                Ok(AttemptOutcome::Responded(reply)) => {
                     summary.head_after = context.arrived.elapsed().as_millis() as u64;
                     let uncached_tokens = chosen.uncached_tokens;
                     match self
-                        .complete(context, answer, uncached_tokens, may_try_another)
+                        .validate_response(context, reply, uncached_tokens, may_retry_elsewhere)
                         .await
                     {
-                        Ok(served) => {
+                        Ok(dispatched) => {
                             record_attempt(summary, &replica.id, "answered");
                             self.record_latency(context, &replica, sent);
-                            replica.record(evidence_of(&served));
-                            return Ok(served);
+                            replica.record(response_evidence(&dispatched));
+                            return Ok(dispatched);
                         }
                         Err(cause) => {
                             replica.record(match cause {
@@ -156,30 +159,30 @@
 
     /// Waits for the head of a response. If the response is overdue and another replica can
     /// be tried, the wait ends early.
-    async fn await_answer(
+    async fn await_response(
         &self,
         context: &RequestContext,
-        sending: impl Future<Output = AttemptOutcome>,
-        another: impl Fn() -> bool,
+        response: impl Future<Output = AttemptOutcome>,
+        has_alternative: impl Fn() -> bool,
     ) -> Result<AttemptOutcome, AttemptTimeout> {
         let deadline = context.outbound.deadline;
-        let mut sending = std::pin::pin!(sending);
+        let mut response = std::pin::pin!(response);
         if context.route.is_repeatable() && context.service.engine.is_none() {
             let now = Instant::now();
-            let left = deadline.saturating_duration_since(now);
+            let remaining = deadline.saturating_duration_since(now);
             let wait = self
                 .baseline_latencies
                 .response_timeout(&context.route.name);
-            let wait = wait.map_or(left, |wait| wait.min(left / 3));
-            if let Ok(outcome) = tokio::time::timeout_at(now + wait, &mut sending).await {
+            let wait = wait.map_or(remaining, |wait| wait.min(remaining / 3));
+            if let Ok(outcome) = tokio::time::timeout_at(now + wait, &mut response).await {
                 return Ok(outcome);
             }
-            if another() && self.withdraw_retry() {
-                return Err(AttemptTimeout::TryAnother);
+            if has_alternative() && self.withdraw_retry() {
+                return Err(AttemptTimeout::Overdue);
             }
         }
-        let outcome = tokio::time::timeout_at(deadline, sending).await;
-        outcome.map_err(|_| AttemptTimeout::Deadline)
+        let outcome = tokio::time::timeout_at(deadline, response).await;
+        outcome.map_err(|_| AttemptTimeout::DeadlineExceeded)
     }
 
     /// Records the elapsed time as a lower bound of the latency of a plain service's
@@ -193,7 +196,11 @@
         }
     }
 
-    fn query<'a>(&'a self, context: &'a RequestContext, excluded: &'a [Text]) -> ReplicaQuery<'a> {
+    fn replica_query<'a>(
+        &'a self,
+        context: &'a RequestContext,
+        excluded: &'a [Text],
+    ) -> ReplicaQuery<'a> {
         ReplicaQuery {
             service: context.service.name.as_str(),
             zone: &self.zone,
@@ -211,8 +218,8 @@
     pub(crate) fn predict_placement(&self, context: &RequestContext) -> Option<Placement> {
         context.parameters.budget?;
         context.service.engine.as_ref()?;
-        let replica = self.choose_engine(context, &self.query(context, &[]))?;
-        Some(placement_at(context, &replica))
+        let replica = self.choose_engine(context, &self.replica_query(context, &[]))?;
+        Some(build_placement(context, &replica))
     }
 
     fn choose_engine(
@@ -223,7 +230,7 @@
         let parameters = &context.parameters;
         let tokens = parameters.prompt.tokens();
         let affinity = match parameters.program.is_empty() {
-            true => placement::hash_text(&parameters.request),
+            true => placement::hash_text(&parameters.request_id),
             false => placement::hash_text(&parameters.program),
         };
         let rates = self.registry.rates(&context.service.name);
@@ -235,10 +242,11 @@
 
     fn choose(&self, context: &RequestContext, excluded: &[Text]) -> Option<ChosenReplica> {
         let prompt = &context.parameters.prompt;
-        let query = self.query(context, excluded);
+        let query = self.replica_query(context, excluded);
         let Some(engine) = &context.service.engine else {
-            let tie = rand::random();
-            let choose = |candidates: &[Candidate]| placement::choose_plain(candidates, tie);
+            let tie_breaker = rand::random();
+            let choose =
+                |candidates: &[Candidate]| placement::choose_plain(candidates, tie_breaker);
             let replica = self.registry.choose(&query, choose)?;
             return Some(ChosenReplica {
                 replica,
@@ -264,18 +272,15 @@
 
     /// Validates a response and reads the body of a plain one. `may_retry` says whether an
     /// error response should be retried at another replica.
-    async fn complete(
+    async fn validate_response(
         &self,
         context: &mut RequestContext,
-        mut answer: Box<ReplicaResponse>,
+        mut reply: Box<ReplicaResponse>,
         uncached_tokens: u32,
         may_retry: bool,
     ) -> Result<DispatchedResponse, &'static str> {
-        let status = answer.response.status();
-        let signed = answer
-            .response
-            .headers()
-            .contains_key(&self.names.signature);
+        let status = reply.response.status();
+        let signed = reply.response.headers().contains_key(&self.names.signature);
         if status.is_success() && !signed {
             return Err("unsigned_answer");
         }
@@ -283,18 +288,18 @@
             return Err("server_error");
         }
         if context.route.kind == RouteKind::Stream && status == StatusCode::OK {
-            return Ok(DispatchedResponse::Stream(answer, uncached_tokens));
+            return Ok(DispatchedResponse::Stream(reply, uncached_tokens));
         }
-        let reading = Limited::new(answer.response.body_mut(), MAX_ANSWER_BYTES).collect();
+        let reading = Limited::new(reply.response.body_mut(), MAX_RESPONSE_BYTES).collect();
         let content = match tokio::time::timeout_at(context.outbound.deadline, reading).await {
             Ok(Ok(collected)) => collected.to_bytes(),
             Ok(Err(_)) => return Err(TRUNCATED),
             Err(_) => return Err("time_out"),
         };
         context.memory_guard.force_acquire(content.len());
-        let answer = *answer;
-        let (head, _) = answer.response.into_parts();
-        answer.replica.pool.release(answer.connection);
+        let reply = *reply;
+        let (head, _) = reply.response.into_parts();
+        reply.replica.pool.release(reply.connection);
         Ok(DispatchedResponse::Whole(head, content))
     }
 }
@@ -303,9 +308,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptTimeout {
     /// The response is overdue, and another replica is tried instead.
-    TryAnother,
+    Overdue,
     /// The request's deadline has passed.
-    Deadline,
+    DeadlineExceeded,
 }
 
 /// Counts of the replicas that rejected one request.
@@ -333,14 +338,14 @@
 }
 
 /// Describes a turn's placement at a replica until the request's deadline.
-fn placement_at(context: &RequestContext, replica: &Replica) -> Placement {
-    let left = context
+fn build_placement(context: &RequestContext, replica: &Replica) -> Placement {
+    let remaining = context
         .outbound
         .deadline
         .saturating_duration_since(Instant::now());
     Placement {
         replica: replica.short_hash(),
-        max_duration_milliseconds: u32::try_from(left.as_millis()).unwrap_or(u32::MAX),
+        max_duration_milliseconds: u32::try_from(remaining.as_millis()).unwrap_or(u32::MAX),
     }
 }
 
@@ -363,8 +368,8 @@
 }
 
 /// Classifies a response as evidence of the replica's health.
-fn evidence_of(served: &DispatchedResponse) -> Evidence {
-    match served {
+fn response_evidence(dispatched: &DispatchedResponse) -> Evidence {
+    match dispatched {
         DispatchedResponse::Whole(head, _) if head.status.is_server_error() => Evidence::Failed,
         DispatchedResponse::Whole(..) | DispatchedResponse::Stream(..) => Evidence::Sound,
     }
--- a/crates/stageyoke-front/src/engine_rates.rs
+++ b/crates/stageyoke-front/src/engine_rates.rs
@@ -62,11 +62,11 @@
     /// Returns the time per token relative to the service's estimate, if the turn generated
     /// any.
     pub fn slowdown(&self, rates: &CurrentRates) -> Option<f64> {
-        let token = self.token_milliseconds()?;
+        let token = self.token_ms()?;
         Some(token / rates.token_time(self.concurrent_requests))
     }
 
-    fn token_milliseconds(&self) -> Option<f64> {
+    fn token_ms(&self) -> Option<f64> {
         let tokens = f64::from(self.generated_tokens);
         (tokens > 0.0).then(|| milliseconds(self.generation_time) / tokens)
     }
@@ -81,7 +81,7 @@
     xx: f64,
     xy: f64,
     prior: [(f64, f64); 2],
-    at: Option<Instant>,
+    updated_at: Option<Instant>,
 }
 
 impl DecayingLinearFit {
@@ -94,14 +94,16 @@
             xx: 0.0,
             xy: 0.0,
             prior,
-            at: None,
+            updated_at: None,
         }
     }
 
     fn add(&mut self, x: f64, y: f64, now: Instant) {
-        let passed = self.at.map_or(Duration::ZERO, |at| now - at);
-        let retained = decay(passed, RATES_HALF_LIFE);
-        self.at = Some(now);
+        let age = self
+            .updated_at
+            .map_or(Duration::ZERO, |updated_at| now - updated_at);
+        let retained = decay(age, RATES_HALF_LIFE);
+        self.updated_at = Some(now);
         self.weight = self.weight * retained + 1.0;
         self.x = self.x * retained + x;
         self.y = self.y * retained + y;
@@ -145,7 +147,7 @@
             )
         };
         let first_event =
-            |missing: f64| (missing, PRIOR_FIRST_EVENT_MS + PRIOR_PREFILL_MS * missing);
+            |uncached: f64| (uncached, PRIOR_FIRST_EVENT_MS + PRIOR_PREFILL_MS * uncached);
         Self {
             token: DecayingLinearFit::with_prior([token(0.0), token(PRIOR_CONCURRENT_REQUESTS)]),
             first_event: DecayingLinearFit::with_prior([
@@ -165,13 +167,13 @@
         if slowdown > MAX_LEARNING_SLOWDOWN {
             return;
         }
-        if let Some(token) = timing.token_milliseconds() {
+        if let Some(token) = timing.token_ms() {
             self.token.add(timing.concurrent_requests, token, now);
         }
         if !timing.queued {
-            let missing = f64::from(timing.uncached_tokens);
+            let uncached = f64::from(timing.uncached_tokens);
             let first_event = milliseconds(timing.time_to_first_event);
-            self.first_event.add(missing, first_event, now);
+            self.first_event.add(uncached, first_event, now);
         }
     }
 
@@ -232,14 +234,14 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Slowdown {
     logarithm: f64,
-    at: Option<Instant>,
+    updated_at: Option<Instant>,
 }
 
 impl Default for Slowdown {
     fn default() -> Self {
         Self {
             logarithm: 0.0,
-            at: None,
+            updated_at: None,
         }
     }
 }
@@ -250,22 +252,24 @@
         let Some(ratio) = timing.slowdown(rates) else {
             return;
         };
-        let (least, most) = SLOWDOWN_RANGE;
-        let seen = ratio.clamp(least, most).log2();
+        let (lower, upper) = SLOWDOWN_RANGE;
+        let measured = ratio.clamp(lower, upper).log2();
         let before = self.factor(now).log2();
-        self.logarithm = before + SLOWDOWN_WEIGHT * (seen - before);
-        self.at = Some(now);
+        self.logarithm = before + SLOWDOWN_WEIGHT * (measured - before);
+        self.updated_at = Some(now);
     }
 
     /// Returns the slowdown factor at the given time.
     pub fn factor(&self, now: Instant) -> f64 {
-        let passed = self.at.map_or(Duration::ZERO, |at| now - at);
-        (self.logarithm * decay(passed, SLOWDOWN_HALF_LIFE)).exp2()
+        let age = self
+            .updated_at
+            .map_or(Duration::ZERO, |updated_at| now - updated_at);
+        (self.logarithm * decay(age, SLOWDOWN_HALF_LIFE)).exp2()
     }
 }
 
-fn decay(passed: Duration, half_life: Duration) -> f64 {
-    (-passed.as_secs_f64() / half_life.as_secs_f64()).exp2()
+fn decay(age: Duration, half_life: Duration) -> f64 {
+    (-age.as_secs_f64() / half_life.as_secs_f64()).exp2()
 }
 
 fn milliseconds(duration: Duration) -> f64 {
--- a/crates/stageyoke-front/src/failure.rs
+++ b/crates/stageyoke-front/src/failure.rs
@@ -42,7 +42,7 @@
 
 impl Failure {
     /// Returns whether the request has certainly not run at any replica.
-    pub fn is_not_run(&self) -> bool {
+    pub fn has_not_run(&self) -> bool {
         matches!(
             self.kind,
             ErrorKind::Overloaded
@@ -55,14 +55,14 @@
 
 /// Builds the error response for a failure.
 pub fn build_response(failure: &Failure) -> Response<ResponseBody> {
-    let answer = failure.kind.answer();
+    let description = failure.kind.answer();
     let content = format!(
         "{{\"error\":{{\"kind\":\"{}\",\"message\":\"{}\"}}}}",
-        answer.name, answer.meaning
+        description.name, description.meaning
     );
     let mut response = Response::new(ResponseBody::full(content));
     *response.status_mut() =
-        StatusCode::from_u16(answer.http_status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+        StatusCode::from_u16(description.http_status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     if let Some(after) = failure.retry_after {
--- a/crates/stageyoke-front/src/front.rs
+++ b/crates/stageyoke-front/src/front.rs
@@ -138,20 +138,20 @@
     pub fn ready(&self) -> bool {
         let view = self.mirror.view();
         let failing = self.history.stores.all_failing_for();
-        let stores_serve = failing.is_none_or(|failing| failing < UNREADY_DELAY);
-        view.routes.is_some() && !self.draining() && stores_serve
+        let stores_available = failing.is_none_or(|failing| failing < UNREADY_DELAY);
+        view.routes.is_some() && !self.draining() && stores_available
     }
 
     /// Probes failing store groups until they recover, and reapplies the replica list when
     /// a lapse expires, since no change of the directory may trigger it.
     async fn watch_store_groups(&self) {
-        let mut reported: BTreeSet<GroupNumber> = BTreeSet::new();
+        let mut known_failures: BTreeSet<GroupNumber> = BTreeSet::new();
         loop {
             tokio::time::sleep(PROBE_INTERVAL).await;
             let failing = self.history.stores.failing_groups();
             for group in &failing {
                 let number = group.number();
-                if reported.insert(number) {
+                if known_failures.insert(number) {
                     let failing_for = group.failing_for().unwrap_or_default();
                     let detail = format!("group={} for={failing_for:?}", number.0);
                     observe::event(Event::GroupFailing, &detail);
@@ -162,14 +162,14 @@
             if self.registry.has_expired_lapses() {
                 self.apply_directory();
             }
-            reported.retain(|number| {
-                let fails = failing.iter().any(|group| group.number() == *number);
-                if !fails {
+            known_failures.retain(|number| {
+                let still_failing = failing.iter().any(|group| group.number() == *number);
+                if !still_failing {
                     self.mirror.freshness().report_peers_reachable();
                     let detail = format!("store group {}", number.0);
                     observe::event(Event::DependencyRegained, &detail);
                 }
-                fails
+                still_failing
             });
         }
     }
@@ -238,11 +238,11 @@
     let FrontListeners { callers, readiness } = listeners;
     tokio::task::spawn_local(server::serve_callers(front.clone(), callers));
     tokio::task::spawn_local(server::serve_readiness(front.clone(), readiness));
-    let following = front.clone();
+    let applying = front.clone();
     tokio::task::spawn_local(async move {
-        let mirror = following.mirror.clone();
+        let mirror = applying.mirror.clone();
         let report = |event| {
-            following.apply_directory();
+            applying.apply_directory();
             log_mirror_event(event);
         };
         mirror.run(report).await;
@@ -261,13 +261,13 @@
     front.draining.set(true);
     let detail = format!("under_way={}", front.requests.count());
     observe::event(Event::NodeDraining, &detail);
-    let most = settings.grace.saturating_sub(SHUTDOWN_MARGIN);
-    let finish = async {
-        tokio::time::sleep(STOP_LISTENING_DELAY.min(most)).await;
+    let drain_time = settings.grace.saturating_sub(SHUTDOWN_MARGIN);
+    let completion = async {
+        tokio::time::sleep(STOP_LISTENING_DELAY.min(drain_time)).await;
         front.shutdown.trigger();
         front.requests.wait_until_idle().await;
     };
-    let finished = tokio::time::timeout(most, finish).await.is_ok();
+    let finished = tokio::time::timeout(drain_time, completion).await.is_ok();
     observe::event(Event::NodeStopped, &format!("finished={finished}"));
     Ok(())
 }
--- a/crates/stageyoke-front/src/handler.rs
+++ b/crates/stageyoke-front/src/handler.rs
@@ -65,7 +65,7 @@
     /// Handles one request.
     pub async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         let arrived = Instant::now();
-        let _active = self.requests.track();
+        let _request_guard = self.requests.track();
         let mut pending = PendingRequest::new(arrived);
         let served = self.serve(request, arrived, &mut pending.summary).await;
         let mut summary = pending.into_summary();
@@ -77,7 +77,7 @@
                 let retry_after = failure.retry_after.unwrap_or_default();
                 summary.retry_after = retry_after.as_millis() as u64;
                 observe::request_ended(&summary, arrived.elapsed());
-                self.echo(failure::build_response(&failure), &summary)
+                self.echo_request_id(failure::build_response(&failure), &summary)
             }
         };
         if !self.ready() {
@@ -89,7 +89,7 @@
         response
     }
 
-    fn echo(
+    fn echo_request_id(
         &self,
         mut response: Response<ResponseBody>,
         summary: &Summary,
@@ -113,20 +113,20 @@
         let parameters = RequestParameters::read(&head.headers, &self.names, arrived).ok_or(
             Failure::permanent(ErrorKind::BadRequest, "no_request_identifier"),
         )?;
-        summary.request = parameters.request.to_string();
+        summary.request = parameters.request_id.to_string();
         summary.program = parameters.program.to_string();
         let deadline = parameters.deadline.saturating_duration_since(arrived);
         summary.deadline = deadline.as_millis() as u64;
-        let finish = parameters
+        let time_left = parameters
             .program_deadline
-            .map_or(Duration::ZERO, |finish| finish.remaining());
-        summary.finish = finish.as_millis() as u64;
+            .map_or(Duration::ZERO, |deadline| deadline.remaining());
+        summary.finish = time_left.as_millis() as u64;
         let freshness = self.mirror.freshness();
         freshness.ensure_fresh().await;
         let age = freshness.age().unwrap_or(Duration::MAX);
         summary.directory_age = age.as_millis().min(u128::from(u32::MAX)) as u64;
-        let ages = &observe::metrics().directory_age_seconds;
-        ages.observe(age.as_secs_f64());
+        let age_histogram = &observe::metrics().directory_age_seconds;
+        age_histogram.observe(age.as_secs_f64());
         self.stale_list_monitor
             .check(age, freshness.is_service_unreachable());
         summary.members_version = self.history.stores.stores().version;
@@ -151,7 +151,7 @@
             }
         }
         summary.routes_version = routes.version;
-        let service = self.pick_service(&routes, &route)?;
+        let service = self.choose_service(&routes, &route)?;
         let mut memory_guard = self.memory_budget.start_request();
         let reading = read_body(body, routes.limits.body_bytes, &mut memory_guard);
         let input = tokio::time::timeout_at(parameters.deadline, reading)
@@ -169,7 +169,7 @@
             .ok_or(Failure::permanent(ErrorKind::Internal, "tenant_name"))?;
         let identifiers = ScopedIdentifiers::of(&parameters, caller.tenant.as_ref());
         let outbound = OutboundRequest {
-            request: parameters.request.clone(),
+            request_id: parameters.request_id.clone(),
             method: head.method,
             path,
             headers,
@@ -196,7 +196,7 @@
         let granted = RefCell::default();
         let outcome = self.run(context, summary, &granted).await;
         if let Err(failure) = &outcome
-            && failure.is_not_run()
+            && failure.has_not_run()
             && let Some(grant) = granted.take()
         {
             self.quotas.refund(&grant);
@@ -204,7 +204,7 @@
         outcome
     }
 
-    fn pick_service(&self, routes: &RouteTable, route: &Route) -> Result<ServiceSpec, Failure> {
+    fn choose_service(&self, routes: &RouteTable, route: &Route) -> Result<ServiceSpec, Failure> {
         let missing = Failure::retryable(
             ErrorKind::Unavailable,
             "no_such_service",
@@ -228,13 +228,13 @@
         let (reservation, transcript) = self.prepare(&context, expected, &ledger, granted).await?;
         summary.ledger = ledger.into_inner();
         let mut reservation = match reservation {
-            Ok(granted) => granted,
+            Ok(reservation) => reservation,
             Err(failure) => return Err(failure),
         };
         if let Some(previous) = &context.parameters.previous {
             let found = match &transcript {
                 Ok(Some(text)) => format!("{} bytes", text.len()),
-                Ok(None) => "not kept".to_owned(),
+                Ok(None) => "not stored".to_owned(),
                 Err(failure) => failure.cause.to_owned(),
             };
             summary.history = format!("previous={previous} found={found}");
@@ -272,19 +272,19 @@
         let preparation = async {
             tokio::join!(
                 self.reserve(context, expected, ledger),
-                self.transcript(context)
+                self.read_transcript(context)
             )
         };
         let Some(tenant) = &context.caller.tenant else {
             return Ok(preparation.await);
         };
-        let asked = QuotaRequest {
+        let quota_request = QuotaRequest {
             tenant,
             program: &context.identifiers.program,
             version: context.routes_version,
         };
         let quota = async {
-            granted.replace(self.quotas.acquire(asked).await?);
+            granted.replace(self.quotas.acquire(quota_request).await?);
             Ok(())
         };
         if self.quotas.is_recently_rejected(tenant) {
@@ -303,17 +303,17 @@
         summary: &mut Summary,
         reservation: Option<Reservation>,
     ) -> Response<ResponseBody> {
-        let (answer, uncached_tokens) = match served {
+        let (reply, uncached_tokens) = match served {
             DispatchedResponse::Whole(head, content) => {
                 summary.status = head.status.as_u16();
                 summary.outcome = "answered";
                 observe::request_ended(summary, context.arrived.elapsed());
                 let body = ResponseBody::full(content).with_memory(context.memory_guard);
-                return from_replica(&head, body);
+                return build_caller_response(&head, body);
             }
-            DispatchedResponse::Stream(answer, uncached_tokens) => (*answer, uncached_tokens),
+            DispatchedResponse::Stream(reply, uncached_tokens) => (*reply, uncached_tokens),
         };
-        let (head, body) = answer.response.into_parts();
+        let (head, body) = reply.response.into_parts();
         let mut summary = std::mem::take(summary);
         summary.status = head.status.as_u16();
         let engine = context.service.engine.as_ref();
@@ -330,10 +330,10 @@
             identifiers: context.identifiers,
             max_tokens: context.parameters.max_tokens,
             upstream: UpstreamStream {
-                connection: answer.connection,
-                replica: answer.replica,
-                guard: answer.guard,
-                sent: answer.sent,
+                connection: reply.connection,
+                replica: reply.replica,
+                guard: reply.guard,
+                sent: reply.sent,
                 uncached_tokens,
             },
             summary,
@@ -341,16 +341,19 @@
             _memory_guard: context.memory_guard,
         };
         let (chunks, receiver) = mpsc::channel(CHUNK_BUFFER);
-        let active = self.requests.track();
+        let request_guard = self.requests.track();
         tokio::task::spawn_local(async move {
             relay.run(body, chunks).await;
-            drop(active);
+            drop(request_guard);
         });
-        from_replica(&head, ResponseBody::Stream(receiver))
+        build_caller_response(&head, ResponseBody::Stream(receiver))
     }
 }
 
-fn from_replica(head: &hyper::http::response::Parts, body: ResponseBody) -> Response<ResponseBody> {
+fn build_caller_response(
+    head: &hyper::http::response::Parts,
+    body: ResponseBody,
+) -> Response<ResponseBody> {
     let mut response = Response::new(body);
     *response.status_mut() = head.status;
     *response.headers_mut() = end_to_end_headers(&head.headers);
@@ -364,8 +367,8 @@
     limit: usize,
     memory_guard: &mut MemoryGuard,
 ) -> Result<Bytes, Failure> {
-    let announced = body.size_hint().exact().map(|length| length as usize);
-    if let Some(length) = announced
+    let content_length = body.size_hint().exact().map(|length| length as usize);
+    if let Some(length) = content_length
         && length <= limit
         && !memory_guard.try_acquire(length)
     {
@@ -377,7 +380,7 @@
         let Ok(data) = frame.map_err(body_failure)?.into_data() else {
             continue;
         };
-        if announced.is_none() && !memory_guard.try_acquire(data.len()) {
+        if content_length.is_none() && !memory_guard.try_acquire(data.len()) {
             return Err(out_of_memory());
         }
         chunks.push(data);
--- a/crates/stageyoke-front/src/health.rs
+++ b/crates/stageyoke-front/src/health.rs
@@ -44,30 +44,30 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
     estimate: f64,
-    at: Option<Instant>,
+    updated_at: Option<Instant>,
 }
 
 impl Health {
     /// Updates the estimate with the outcome of a request.
     pub fn record(&mut self, evidence: Evidence, now: Instant) {
         let before = self.failure_probability(now);
-        let worse_by = |weight: f64| before + weight * (1.0 - before);
+        let increased_by = |weight: f64| before + weight * (1.0 - before);
         self.estimate = match evidence {
             Evidence::Sound => before * (1.0 - OUTCOME_WEIGHT),
-            Evidence::Failed | Evidence::Lost => worse_by(OUTCOME_WEIGHT),
-            Evidence::Reset => worse_by(RESET_WEIGHT),
+            Evidence::Failed | Evidence::Lost => increased_by(OUTCOME_WEIGHT),
+            Evidence::Reset => increased_by(RESET_WEIGHT),
             Evidence::Unreachable => 1.0,
         };
-        self.at = Some(now);
+        self.updated_at = Some(now);
     }
 
     /// Returns the probability that the next request fails, 0 to 1.
     pub fn failure_probability(&self, now: Instant) -> f64 {
-        let Some(at) = self.at else {
+        let Some(updated_at) = self.updated_at else {
             return 0.0;
         };
-        let passed = now.saturating_duration_since(at).as_secs_f64();
-        self.estimate * (-passed / ESTIMATE_HALF_LIFE.as_secs_f64()).exp2()
+        let age = now.saturating_duration_since(updated_at).as_secs_f64();
+        self.estimate * (-age / ESTIMATE_HALF_LIFE.as_secs_f64()).exp2()
     }
 
     /// Returns how long the estimate stays above `CAUTION_THRESHOLD` without another
@@ -82,12 +82,12 @@
 }
 
 /// Combines the local estimate with the number of other fronts that suspect the replica.
-pub fn combine_estimates(own: f64, reports: u16) -> f64 {
-    own.max((PEER_REPORT_WEIGHT * f64::from(reports)).min(1.0))
+pub fn combine_estimates(local: f64, reports: u16) -> f64 {
+    local.max((PEER_REPORT_WEIGHT * f64::from(reports)).min(1.0))
 }
 
 /// Returns the failure probability up to which a replica may get a request.
-pub fn accepted_failure(repeatable: bool) -> f64 {
+pub fn max_accepted_failure(repeatable: bool) -> f64 {
     match repeatable {
         true => SUSPENSION_THRESHOLD,
         false => CAUTION_THRESHOLD,
--- a/crates/stageyoke-front/src/history.rs
+++ b/crates/stageyoke-front/src/history.rs
@@ -52,14 +52,19 @@
     }
 
     /// Returns the transcript of this program up to and including `turn`.
-    pub async fn transcript(&self, program: &str, turn: &Text, within: Duration) -> Transcript {
+    pub async fn read_transcript(
+        &self,
+        program: &str,
+        turn: &Text,
+        time_limit: Duration,
+    ) -> Transcript {
         let mut parts = self.cached_chain(turn);
-        let missing = match parts.last() {
+        let first_missing = match parts.last() {
             None => turn.clone(),
             Some(last) => last.previous.clone(),
         };
-        if !missing.is_empty() {
-            match self.stores.chain(program, &missing, within).await {
+        if !first_missing.is_empty() {
+            match self.stores.chain(program, &first_missing, time_limit).await {
                 ChainOutcome::Complete(rest) => parts.extend(rest),
                 ChainOutcome::Absent(absent) if absent == *turn => return Transcript::Absent,
                 // An ancestor of an existing turn must exist, so its absence proves
@@ -98,23 +103,23 @@
         &self,
         program: &Text,
         turn: &Text,
-        most: u32,
+        max_tokens: u32,
         placement: Option<Placement>,
-        within: Duration,
+        time_limit: Duration,
     ) -> Result<LedgerView, GroupError> {
         let record = Record::Reserve {
             program: program.clone(),
             turn: turn.clone(),
-            max_tokens: most,
+            max_tokens,
         };
-        let began = Instant::now();
+        let started = Instant::now();
         let ledger = self
             .stores
-            .append_with_placement(record, placement, within)
+            .append_with_placement(record, placement, time_limit)
             .await;
         metrics()
             .reserve_seconds
-            .observe(began.elapsed().as_secs_f64());
+            .observe(started.elapsed().as_secs_f64());
         ledger
     }
 
@@ -130,13 +135,13 @@
 
     /// Commits a completed turn, and returns once a write quorum has stored it durably.
     pub async fn commit(&self, record: TurnRecord, deadline: Instant) -> Result<(), GroupError> {
-        let began = Instant::now();
+        let started = Instant::now();
         loop {
             let left = deadline.saturating_duration_since(Instant::now());
-            let within = left.min(COMMIT_ATTEMPT_TIMEOUT);
+            let time_limit = left.min(COMMIT_ATTEMPT_TIMEOUT);
             let error = match self
                 .stores
-                .append(Record::Turn(record.clone()), within)
+                .append(Record::Turn(record.clone()), time_limit)
                 .await
             {
                 Ok(_) => break,
@@ -149,7 +154,7 @@
         }
         metrics()
             .commit_seconds
-            .observe(began.elapsed().as_secs_f64());
+            .observe(started.elapsed().as_secs_f64());
         self.cache.borrow_mut().insert(ChainPart {
             turn: record.turn,
             previous: record.previous,
@@ -218,7 +223,7 @@
 }
 
 /// Builds the record of a turn.
-pub fn turn_record(
+pub fn build_turn_record(
     identifiers: &ScopedIdentifiers,
     input: Bytes,
     output: Vec<u8>,
--- a/crates/stageyoke-front/src/placement.rs
+++ b/crates/stageyoke-front/src/placement.rs
@@ -60,17 +60,17 @@
     affinity: u64,
     rates: &CurrentRates,
 ) -> Option<usize> {
-    let cell_has_room = candidates.iter().any(|candidate| {
+    let cell_has_free_slot = candidates.iter().any(|candidate| {
         candidate.in_cell && candidate.eligible && candidate.in_flight < candidate.slots
     });
-    let allowed = |candidate: &Candidate| {
-        let holds_most = candidate.cached_tokens * 2 > prompt_tokens;
-        candidate.eligible && (!cell_has_room || candidate.in_cell || holds_most)
+    let is_allowed = |candidate: &Candidate| {
+        let has_cached_most = candidate.cached_tokens * 2 > prompt_tokens;
+        candidate.eligible && (!cell_has_free_slot || candidate.in_cell || has_cached_most)
     };
     let home = home_engine(candidates, affinity)?;
-    let known = candidates.iter().map(|candidate| candidate.cached_tokens);
-    let someone_holds_most = known.max().unwrap_or_default() * 2 > prompt_tokens;
-    let home_bonus = match someone_holds_most {
+    let cached = candidates.iter().map(|candidate| candidate.cached_tokens);
+    let any_has_cached_most = cached.max().unwrap_or_default() * 2 > prompt_tokens;
+    let home_bonus = match any_has_cached_most {
         true => 0.0,
         false => {
             MIN_HOME_BONUS_MS.max(HOME_BONUS_FRACTION * f64::from(prompt_tokens) * rates.prefill_ms)
@@ -83,7 +83,7 @@
     candidates
         .iter()
         .enumerate()
-        .filter(|(_, candidate)| allowed(candidate))
+        .filter(|(_, candidate)| is_allowed(candidate))
         .min_by(|(one, first), (other, second)| cost(*one, first).total_cmp(&cost(*other, second)))
         .map(|(index, _)| index)
 }
@@ -94,14 +94,14 @@
 fn turn_cost(candidate: &Candidate, prompt_tokens: u32, rates: &CurrentRates) -> f64 {
     let slots = f64::from(candidate.slots.max(1));
     let in_flight = f64::from(candidate.in_flight);
-    let beside = in_flight.min(slots - 1.0);
-    let missing = prompt_tokens.saturating_sub(candidate.cached_tokens);
-    let reading = f64::from(missing) * rates.prefill_ms;
+    let concurrent = in_flight.min(slots - 1.0);
+    let uncached = prompt_tokens.saturating_sub(candidate.cached_tokens);
+    let prefill = f64::from(uncached) * rates.prefill_ms;
     // With every slot busy, one frees up each turn duration divided by the number of slots.
-    let ahead = (in_flight + 1.0 - slots).max(0.0);
-    let waiting = ahead / slots * rates.turn_time(slots - 1.0);
-    let own = reading + rates.turn_time(beside) + waiting;
-    (own * expected_attempts(candidate) + beside * reading) * candidate.slowdown
+    let queued = (in_flight + 1.0 - slots).max(0.0);
+    let waiting = queued / slots * rates.turn_time(slots - 1.0);
+    let duration = prefill + rates.turn_time(concurrent) + waiting;
+    (duration * expected_attempts(candidate) + concurrent * prefill) * candidate.slowdown
 }
 
 /// Returns the expected number of attempts until the request succeeds. Without this factor,
@@ -111,67 +111,71 @@
 }
 
 fn network_cost(candidate: &Candidate) -> f64 {
-    let way = if candidate.same_zone {
+    let zone_cost = if candidate.same_zone {
         0.0
     } else {
         REMOTE_ZONE_COST_MS
     };
-    let connection = if candidate.has_idle_connection {
+    let connect_cost = if candidate.has_idle_connection {
         0.0
     } else {
         CONNECT_COST_MS
     };
-    way + connection
+    zone_cost + connect_cost
 }
 
 /// Selects a program's home engine by its hash. Only engines of the front's own zone take
 /// part if there are enough of them, which saves connections and cross-zone round trips.
 fn home_engine(candidates: &[Candidate], affinity: u64) -> Option<usize> {
-    let divided = candidates
+    let has_cell = candidates
         .iter()
         .any(|candidate| candidate.in_cell && candidate.eligible);
-    let in_reach = |candidate: &Candidate| candidate.in_cell || !divided;
-    let own =
-        |candidate: &Candidate| candidate.same_zone && candidate.eligible && in_reach(candidate);
-    let own_engines = candidates.iter().filter(|candidate| own(candidate)).count();
-    let zone_only = own_engines >= MIN_ZONE_ENGINES;
-    best_by_affinity(candidates, affinity, |candidate| {
-        in_reach(candidate) && (candidate.same_zone || !zone_only)
+    let is_reachable = |candidate: &Candidate| candidate.in_cell || !has_cell;
+    let in_own_zone = |candidate: &Candidate| {
+        candidate.same_zone && candidate.eligible && is_reachable(candidate)
+    };
+    let zone_engines = candidates
+        .iter()
+        .filter(|candidate| in_own_zone(candidate))
+        .count();
+    let zone_only = zone_engines >= MIN_ZONE_ENGINES;
+    choose_by_hash(candidates, affinity, |candidate| {
+        is_reachable(candidate) && (candidate.same_zone || !zone_only)
     })
 }
 
 /// Chooses a replica of a plain service: the one with the lowest load, counting this
 /// request and weighting by slowdown, with penalties for remote zones and new connections.
-pub fn choose_plain(candidates: &[Candidate], tie: u64) -> Option<usize> {
-    least_loaded(candidates, tie)
+pub fn choose_plain(candidates: &[Candidate], tie_breaker: u64) -> Option<usize> {
+    least_loaded(candidates, tie_breaker)
 }
 
-fn best_by_affinity(
+fn choose_by_hash(
     candidates: &[Candidate],
     affinity: u64,
-    fits: impl Fn(&Candidate) -> bool,
+    is_allowed: impl Fn(&Candidate) -> bool,
 ) -> Option<usize> {
     candidates
         .iter()
         .enumerate()
-        .filter(|(_, candidate)| candidate.eligible && fits(candidate))
+        .filter(|(_, candidate)| candidate.eligible && is_allowed(candidate))
         .max_by_key(|(_, candidate)| mix(candidate.hash ^ affinity))
         .map(|(index, _)| index)
 }
 
-fn least_loaded(candidates: &[Candidate], tie: u64) -> Option<usize> {
+fn least_loaded(candidates: &[Candidate], tie_breaker: u64) -> Option<usize> {
     let load = |candidate: &Candidate| {
-        let handicap = if candidate.same_zone {
+        let zone_penalty = if candidate.same_zone {
             0.0
         } else {
             REMOTE_ZONE_PENALTY
         };
-        let connection = match candidate.has_idle_connection {
+        let connect_penalty = match candidate.has_idle_connection {
             true => 0.0,
             false => CONNECT_PENALTY,
         };
         let work = (f64::from(candidate.in_flight) + 1.0) * candidate.slowdown;
-        (work + handicap + connection) / f64::from(candidate.slots.max(1))
+        (work + zone_penalty + connect_penalty) / f64::from(candidate.slots.max(1))
     };
     candidates
         .iter()
@@ -180,7 +184,7 @@
         .min_by(|(_, one), (_, other)| {
             load(one)
                 .total_cmp(&load(other))
-                .then_with(|| mix(one.hash ^ tie).cmp(&mix(other.hash ^ tie)))
+                .then_with(|| mix(one.hash ^ tie_breaker).cmp(&mix(other.hash ^ tie_breaker)))
         })
         .map(|(index, _)| index)
 }
--- a/crates/stageyoke-front/src/prompt_cache.rs
+++ b/crates/stageyoke-front/src/prompt_cache.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
     /// Hash of the part's identifier.
-    pub part: u64,
+    pub hash: u64,
     /// Number of tokens.
     pub tokens: u32,
 }
@@ -29,8 +29,8 @@
         let part = |part: &str| {
             let (id, tokens) = part.trim().split_once(':')?;
             let tokens = tokens.parse().ok()?;
-            let part = hash_text(id);
-            Some(PromptPart { part, tokens })
+            let hash = hash_text(id);
+            Some(PromptPart { hash, tokens })
         };
         Self {
             parts: text.split(',').map_while(part).collect(),
@@ -64,7 +64,7 @@
         prompt
             .parts
             .iter()
-            .take_while(|part| self.parts.contains_key(&part.part))
+            .take_while(|part| self.parts.contains_key(&part.hash))
             .map(|part| part.tokens)
             .sum()
     }
@@ -91,11 +91,11 @@
             tokens: part.tokens,
             last_use: self.uses,
         };
-        if let Some(before) = self.parts.insert(part.part, cached) {
-            self.by_use.remove(&before.last_use);
-            self.tokens -= u64::from(before.tokens);
+        if let Some(previous) = self.parts.insert(part.hash, cached) {
+            self.by_use.remove(&previous.last_use);
+            self.tokens -= u64::from(previous.tokens);
         }
-        self.by_use.insert(self.uses, part.part);
+        self.by_use.insert(self.uses, part.hash);
         self.tokens += u64::from(part.tokens);
     }
 }
--- a/crates/stageyoke-front/src/quota.rs
+++ b/crates/stageyoke-front/src/quota.rs
@@ -35,10 +35,10 @@
 /// State of one tenant at this front.
 #[derive(Debug)]
 struct TenantState {
-    share: TokenBucket,
+    local_share: TokenBucket,
     version: u64,
     rejected_at: Option<Duration>,
-    used_at: Duration,
+    last_used: Duration,
 }
 
 /// Rate limits of tenants, as enforced by one front.
@@ -76,7 +76,7 @@
     /// Returns whether a request of this tenant was rejected within the last second.
     pub fn is_recently_rejected(&self, tenant: &Tenant) -> bool {
         let tenants = self.tenants.borrow();
-        let state = tenants.get(&key(tenant));
+        let state = tenants.get(&tenant_key(tenant));
         let rejected_at = state.and_then(|state| state.rejected_at);
         rejected_at.is_some_and(|at| at + RECENT_REJECTION_PERIOD > self.started.elapsed())
     }
@@ -91,8 +91,8 @@
             per_second: limit.per_second,
             burst: limit.burst,
         };
-        let question = AcquireRequest {
-            tenant: key(request.tenant),
+        let query = AcquireRequest {
+            tenant: tenant_key(request.tenant),
             program: match request.program.is_empty() {
                 true => 0,
                 false => TurnKey::of(request.program).0,
@@ -101,15 +101,15 @@
             version: request.version,
             standby: false,
         };
-        let (verdict, grant) = self.query_owners(question).await;
+        let (verdict, grant) = self.query_owners(query).await;
         let now = self.started.elapsed();
         match verdict {
             QuotaDecision::Granted => Ok(grant),
             QuotaDecision::Rejected(after) => {
-                self.with_tenant(&question, now, |state| state.rejected_at = Some(now));
+                self.with_tenant(&query, now, |state| state.rejected_at = Some(now));
                 Err(rejection("quota_spent", after))
             }
-            QuotaDecision::Unknown => self.take_share(&question, now).map(|()| None),
+            QuotaDecision::Unknown => self.take_local_share(&query, now).map(|()| None),
         }
     }
 
@@ -118,22 +118,22 @@
         self.stores.refund(grant);
     }
 
-    async fn query_owners(&self, question: AcquireRequest) -> (QuotaDecision, Option<QuotaGrant>) {
+    async fn query_owners(&self, query: AcquireRequest) -> (QuotaDecision, Option<QuotaGrant>) {
         if self.stores.all_failing_for().is_some() {
             return (QuotaDecision::Unknown, None);
         }
-        let Some(ruling) = self.stores.request_quota(question).await else {
+        let Some(decision) = self.stores.request_quota(query).await else {
             return (QuotaDecision::Unknown, None);
         };
-        if ruling.fronts > 0 {
-            self.fronts.set(ruling.fronts);
+        if decision.fronts > 0 {
+            self.fronts.set(decision.fronts);
         }
-        (ruling.verdict, ruling.grant)
+        (decision.verdict, decision.grant)
     }
 
-    fn take_share(&self, question: &AcquireRequest, now: Duration) -> Result<(), Failure> {
+    fn take_local_share(&self, query: &AcquireRequest, now: Duration) -> Result<(), Failure> {
         self.log_unknown();
-        let granted = self.with_tenant(question, now, |state| state.share.try_acquire(now));
+        let granted = self.with_tenant(query, now, |state| state.local_share.try_acquire(now));
         match granted {
             true => Ok(()),
             false => Err(rejection("quota_share_spent", SHORT_RETRY_DELAY)),
@@ -149,45 +149,43 @@
 
     fn with_tenant<T>(
         &self,
-        question: &AcquireRequest,
+        query: &AcquireRequest,
         now: Duration,
-        act: impl FnOnce(&mut TenantState) -> T,
+        update: impl FnOnce(&mut TenantState) -> T,
     ) -> T {
         let mut tenants = self.tenants.borrow_mut();
-        if tenants.len() >= MAX_TENANTS && !tenants.contains_key(&question.tenant) {
+        if tenants.len() >= MAX_TENANTS && !tenants.contains_key(&query.tenant) {
             evict_unused(&mut tenants);
         }
-        let part = LOCAL_SHARE_FRACTION / f64::from(self.fronts.get());
-        let limit = question.limit.scaled(part);
-        let state = tenants
-            .entry(question.tenant)
-            .or_insert_with(|| TenantState {
-                share: TokenBucket::new(limit, limit.burst, now),
-                version: question.version,
-                rejected_at: None,
-                used_at: now,
-            });
-        if question.version > state.version || state.share.limit() != limit {
-            state.version = state.version.max(question.version);
-            state.share.set_limit(limit, now);
+        let fraction = LOCAL_SHARE_FRACTION / f64::from(self.fronts.get());
+        let limit = query.limit.scaled(fraction);
+        let state = tenants.entry(query.tenant).or_insert_with(|| TenantState {
+            local_share: TokenBucket::new(limit, limit.burst, now),
+            version: query.version,
+            rejected_at: None,
+            last_used: now,
+        });
+        if query.version > state.version || state.local_share.limit() != limit {
+            state.version = state.version.max(query.version);
+            state.local_share.set_limit(limit, now);
         }
-        state.used_at = now;
-        act(state)
+        state.last_used = now;
+        update(state)
     }
 }
 
 /// Evicts half of the tenants, so that evictions are rare.
 fn evict_unused(tenants: &mut HashMap<u64, TenantState>) {
-    let mut uses: Vec<Duration> = tenants.values().map(|state| state.used_at).collect();
+    let mut uses: Vec<Duration> = tenants.values().map(|state| state.last_used).collect();
     uses.sort_unstable();
-    let middle = uses.get(uses.len() / 2).copied().unwrap_or_default();
-    tenants.retain(|_, state| state.used_at > middle);
+    let median = uses.get(uses.len() / 2).copied().unwrap_or_default();
+    tenants.retain(|_, state| state.last_used > median);
 }
 
 fn rejection(cause: &'static str, after: Duration) -> Failure {
     Failure::retryable(ErrorKind::QuotaSpent, cause, after)
 }
 
-fn key(tenant: &Tenant) -> u64 {
+fn tenant_key(tenant: &Tenant) -> u64 {
     TurnKey::of(&tenant.name).0
 }
--- a/crates/stageyoke-front/src/replica.rs
+++ b/crates/stageyoke-front/src/replica.rs
@@ -77,8 +77,8 @@
 
     /// Returns whether the replica may get new requests, by the directory's list.
     pub fn accepts_requests(&self) -> bool {
-        let lapsed = self.lapsed_until.get();
-        !self.removed.get() && lapsed.is_none_or(|until| Instant::now() < until)
+        let deadline = self.lapsed_until.get();
+        !self.removed.get() && deadline.is_none_or(|until| Instant::now() < until)
     }
 
     /// Returns until when the replica may get requests although its entry is missing.
@@ -122,11 +122,11 @@
     /// not expected to be cached.
     pub fn record_prompt(&self, prompt: &Prompt, capacity_tokens: u64) -> u32 {
         let mut prompt_cache = self.prompt_cache.borrow_mut();
-        let missing = prompt
+        let uncached = prompt
             .tokens()
             .saturating_sub(prompt_cache.cached_tokens(prompt));
         prompt_cache.record_prompt(prompt, capacity_tokens);
-        missing
+        uncached
     }
 
     /// Returns the number of requests in flight, counting this front's own and reported
@@ -151,12 +151,12 @@
     /// count.
     fn in_flight_for(&self, group: Option<GroupNumber>) -> u32 {
         let replica = self.short_hash();
-        let counted = match (group, self.cell.get()) {
+        let group_count = match (group, self.cell.get()) {
             (Some(group), Some(cell)) if group == cell => self.load.placed_turns(group, replica),
             _ => None,
         };
-        match counted {
-            Some(counted) => counted.max(self.load.local_in_flight(replica)),
+        match group_count {
+            Some(group_count) => group_count.max(self.load.local_in_flight(replica)),
             None => self.requests_in_flight(),
         }
     }
@@ -185,8 +185,8 @@
 
     /// Records the latency of a response relative to the route's baseline, for other fronts
     /// too.
-    pub fn record_latency(&self, ratio: f64) {
-        self.load.record_latency_ratio(self.short_hash(), ratio);
+    pub fn record_latency(&self, slowdown: f64) {
+        self.load.record_latency_ratio(self.short_hash(), slowdown);
     }
 
     /// Records the outcome of a request and reports a suspicion to other fronts.
--- a/crates/stageyoke-front/src/replica_log.rs
+++ b/crates/stageyoke-front/src/replica_log.rs
@@ -38,8 +38,8 @@
         observe::metrics().old_list_requests.inc();
         if self.log_limiter.try_acquire() {
             let reason = match unreachable {
-                true => "nobody tells a younger one",
-                false => "no answer in time",
+                true => "service and stores unreachable",
+                false => "timed out waiting for a newer list",
             };
             let detail = format!("age={} reason={reason}", age.as_millis());
             observe::event(Event::OldListUsed, &detail);
@@ -48,14 +48,14 @@
 }
 
 /// Logs which replicas were added and removed by one update of the list.
-pub(crate) fn log_replica_changes(added: &[Text], dropped: &[Text], now: usize) {
-    if added.is_empty() && dropped.is_empty() {
+pub(crate) fn log_replica_changes(added: &[Text], removed: &[Text], now: usize) {
+    if added.is_empty() && removed.is_empty() {
         return;
     }
     let detail = format!(
         "added={} dropped={} now={now}",
         format_names(added),
-        format_names(dropped)
+        format_names(removed)
     );
     observe::event(Event::ReplicasChanged, &detail);
 }
--- a/crates/stageyoke-front/src/replica_registry.rs
+++ b/crates/stageyoke-front/src/replica_registry.rs
@@ -36,7 +36,7 @@
 pub struct ReplicaRegistry {
     load: Rc<LoadTracker>,
     idle_limit: Rc<Cell<IdleLimit>>,
-    groups: Cell<usize>,
+    store_groups: Cell<usize>,
     replicas: RefCell<HashMap<Text, Rc<Replica>>>,
     services: RefCell<HashMap<Text, Vec<Rc<Replica>>>>,
     rates: RefCell<HashMap<Text, Rc<Cell<EngineRates>>>>,
@@ -48,7 +48,7 @@
         Self {
             load,
             idle_limit: Rc::default(),
-            groups: Cell::new(0),
+            store_groups: Cell::new(0),
             replicas: RefCell::default(),
             services: RefCell::default(),
             rates: RefCell::default(),
@@ -59,10 +59,10 @@
     /// may have expired during a service outage: such a replica is used until `back_until`,
     /// by which time it is listed again or has ended.
     pub fn apply_list(&self, records: &BTreeMap<Text, ReplicaRecord>, back_until: Option<Instant>) {
-        let dropped = self.remove_missing(records, back_until);
+        let removed = self.remove_missing(records, back_until);
         let added = self.add_new(records);
         let now = self.replicas.borrow().len();
-        replica_log::log_replica_changes(&added, &dropped, now);
+        replica_log::log_replica_changes(&added, &removed, now);
         self.group_by_service();
     }
 
@@ -77,30 +77,30 @@
         if let Some(until) = back_until {
             mark_lapsed(&replicas, records, until);
         }
-        let mut dropped = Vec::new();
+        let mut removed = Vec::new();
         replicas.retain(|id, replica| {
-            let stays = match records.get(id) {
-                Some(record) => is_same_incarnation(replica, record) && ready(record),
+            let retained = match records.get(id) {
+                Some(record) => is_same_incarnation(replica, record) && is_ready(record),
                 None => replica.lapsed_until().is_some() && replica.accepts_requests(),
             };
-            if !stays {
+            if !retained {
                 replica.mark_removed();
-                dropped.push(id.clone());
+                removed.push(id.clone());
             }
-            stays
+            retained
         });
-        dropped
+        removed
     }
 
     /// Adds newly listed replicas that are ready and returns their identifiers.
     fn add_new(&self, records: &BTreeMap<Text, ReplicaRecord>) -> Vec<Text> {
         let mut added = Vec::new();
         let mut replicas = self.replicas.borrow_mut();
-        for (id, record) in records.iter().filter(|(_, record)| ready(record)) {
+        for (id, record) in records.iter().filter(|(_, record)| is_ready(record)) {
             replicas.entry(id.clone()).or_insert_with(|| {
                 added.push(id.clone());
-                let shared = self.shared(&record.service);
-                Rc::new(Replica::new(id.clone(), record.clone(), shared))
+                let shared_state = self.shared_state(&record.service);
+                Rc::new(Replica::new(id.clone(), record.clone(), shared_state))
             });
         }
         added
@@ -137,22 +137,22 @@
     /// Divides a service's replicas among the store groups. All fronts use the same order,
     /// and adding or removing a replica moves few others to another group.
     fn assign_cells(&self, replicas: &mut [Rc<Replica>]) {
-        let groups = self.groups.get();
+        let groups = self.store_groups.get();
         let count = replicas.len();
         replicas.sort_by_key(|replica| replica.cell_order());
-        let divided = groups > 0 && count >= groups * MIN_CELL_REPLICAS;
+        let has_cells = groups > 0 && count >= groups * MIN_CELL_REPLICAS;
         for (position, replica) in replicas.iter().enumerate() {
             let number = u32::try_from(position * groups / count).unwrap_or_default();
-            replica.set_cell(divided.then_some(GroupNumber(number)));
+            replica.set_cell(has_cells.then_some(GroupNumber(number)));
         }
     }
 
     /// Sets the number of store groups, which takes effect when the list is next applied.
     pub fn set_store_groups(&self, groups: usize) {
-        self.groups.set(groups);
+        self.store_groups.set(groups);
     }
 
-    fn shared(&self, service: &Text) -> SharedState {
+    fn shared_state(&self, service: &Text) -> SharedState {
         let mut rates = self.rates.borrow_mut();
         SharedState {
             load: self.load.clone(),
@@ -178,8 +178,8 @@
     pub fn total_slots(&self, service: &str) -> u32 {
         let services = self.services.borrow();
         let replicas = services.get(service).into_iter().flatten();
-        let accepts_requests = replicas.filter(|replica| replica.accepts_requests());
-        accepts_requests.map(|replica| replica.record.slots).sum()
+        let accepting = replicas.filter(|replica| replica.accepts_requests());
+        accepting.map(|replica| replica.record.slots).sum()
     }
 
     /// Chooses a replica of the service with `choose`. Candidates with a high failure
@@ -196,7 +196,7 @@
             .map(|replica| replica.candidate(query))
             .collect();
         let limits = [
-            health::accepted_failure(query.repeatable),
+            health::max_accepted_failure(query.repeatable),
             health::SUSPENSION_THRESHOLD,
         ];
         let limit = limits.into_iter().find(|limit| {
@@ -216,14 +216,14 @@
 /// Returns whether the listed record is the same incarnation as the registered replica, and
 /// logs a restart if not.
 fn is_same_incarnation(replica: &Replica, listed: &ReplicaRecord) -> bool {
-    let is_same_incarnation = replica.confirm_listing(listed);
-    if !is_same_incarnation {
+    let matches_listing = replica.confirm_listing(listed);
+    if !matches_listing {
         replica_log::log_replica_restart(&replica.id, &replica.record, listed);
     }
-    is_same_incarnation
+    matches_listing
 }
 
-fn ready(record: &ReplicaRecord) -> bool {
+fn is_ready(record: &ReplicaRecord) -> bool {
     record.state == ReplicaState::Ready
 }
 
--- a/crates/stageyoke-front/src/request.rs
+++ b/crates/stageyoke-front/src/request.rs
@@ -18,13 +18,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ProgramDeadline {
     arrived: Instant,
-    left: Duration,
+    time_left: Duration,
 }
 
 impl ProgramDeadline {
     /// Returns the remaining time, zero once the deadline has passed.
     pub fn remaining(&self) -> Duration {
-        self.left.saturating_sub(self.arrived.elapsed())
+        self.time_left.saturating_sub(self.arrived.elapsed())
     }
 }
 
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug)]
 pub struct RequestParameters {
     /// Identifier of this attempt by the caller.
-    pub request: Text,
+    pub request_id: Text,
     /// Time at which the caller stops waiting.
     pub deadline: Instant,
     /// Program identifier; empty without a program.
@@ -52,21 +52,21 @@
 impl RequestParameters {
     /// Reads the parameters; returns `None` if the request has no identifier.
     pub fn read(headers: &HeaderMap, names: &ProtocolNames, arrived: Instant) -> Option<Self> {
-        let request = text(headers, &names.request_id)?;
-        let milliseconds = |name| number(headers, name).map(Duration::from_millis);
+        let request_id = text_header(headers, &names.request_id)?;
+        let milliseconds = |name| numeric_header(headers, name).map(Duration::from_millis);
         let deadline = milliseconds(&names.deadline).unwrap_or(DEFAULT_TIMEOUT);
         Some(Self {
-            request,
+            request_id,
             deadline: arrived + deadline,
-            program: text(headers, &names.program).unwrap_or_default(),
+            program: text_header(headers, &names.program).unwrap_or_default(),
             program_deadline: milliseconds(&names.program_deadline)
-                .map(|left| ProgramDeadline { arrived, left }),
-            budget: number(headers, &names.budget),
-            max_tokens: max_tokens(headers, names).unwrap_or_default(),
-            prompt: text(headers, &names.prompt_parts)
+                .map(|time_left| ProgramDeadline { arrived, time_left }),
+            budget: numeric_header(headers, &names.budget),
+            max_tokens: max_tokens_header(headers, names).unwrap_or_default(),
+            prompt: text_header(headers, &names.prompt_parts)
                 .map(|parts| Prompt::parse(&parts))
                 .unwrap_or_default(),
-            previous: text(headers, &names.previous_turn),
+            previous: text_header(headers, &names.previous_turn),
         })
     }
 }
@@ -86,7 +86,7 @@
 impl ScopedIdentifiers {
     /// Scopes a request's identifiers to its tenant.
     pub fn of(parameters: &RequestParameters, tenant: Option<&Tenant>) -> Self {
-        let own = |identifier: &Text| match tenant {
+        let scoped = |identifier: &Text| match tenant {
             // Header values contain no line feed, so scoped identifiers are unambiguous.
             Some(tenant) if !identifier.is_empty() => {
                 Text::from(format!("{}\n{identifier}", tenant.name))
@@ -94,29 +94,29 @@
             _ => identifier.clone(),
         };
         Self {
-            program: own(&parameters.program),
-            turn: own(&parameters.request),
-            previous: parameters.previous.as_ref().map(own),
+            program: scoped(&parameters.program),
+            turn: scoped(&parameters.request_id),
+            previous: parameters.previous.as_ref().map(scoped),
         }
     }
 }
 
-fn text(headers: &HeaderMap, name: &HeaderName) -> Option<Text> {
+fn text_header(headers: &HeaderMap, name: &HeaderName) -> Option<Text> {
     let value = headers.get(name)?.to_str().ok()?.trim();
     (!value.is_empty()).then(|| Text::from(value))
 }
 
-fn number<T: std::str::FromStr>(headers: &HeaderMap, name: &HeaderName) -> Option<T> {
+fn numeric_header<T: std::str::FromStr>(headers: &HeaderMap, name: &HeaderName) -> Option<T> {
     headers.get(name)?.to_str().ok()?.trim().parse().ok()
 }
 
-fn max_tokens(headers: &HeaderMap, names: &ProtocolNames) -> Option<u32> {
+fn max_tokens_header(headers: &HeaderMap, names: &ProtocolNames) -> Option<u32> {
     let counts = headers.get(&names.token_counts)?.to_str().ok()?;
     counts.split(',').nth(1)?.trim().parse().ok()
 }
 
 /// Returns the host header without its port.
-pub fn host(headers: &HeaderMap) -> Option<&str> {
+pub fn host_name(headers: &HeaderMap) -> Option<&str> {
     let host = headers.get(hyper::header::HOST)?.to_str().ok()?;
     Some(host.split(':').next().unwrap_or(host))
 }
--- a/crates/stageyoke-front/src/response_body.rs
+++ b/crates/stageyoke-front/src/response_body.rs
@@ -17,7 +17,7 @@
 
 impl fmt::Display for TruncatedResponse {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("the answer was cut short")
+        formatter.write_str("response ended before it was complete")
     }
 }
 
--- a/crates/stageyoke-front/src/routing.rs
+++ b/crates/stageyoke-front/src/routing.rs
@@ -11,7 +11,7 @@
 use crate::failure::Failure;
 use crate::front::Front;
 use crate::handler::{LOOKUP_TIMEOUT, OUTAGE_RETRY_DELAY};
-use crate::request::host;
+use crate::request::host_name;
 
 /// Route and caller of a request, with the route table that matched it.
 pub(crate) struct MatchedRoute {
@@ -27,12 +27,12 @@
 }
 
 fn match_route(routes: Rc<RouteTable>, head: &Parts) -> Result<MatchedRoute, RoutingError> {
-    let host = host(&head.headers).unwrap_or_default();
+    let host = host_name(&head.headers).unwrap_or_default();
     let route = routes
         .find(host, head.uri.path())
         .ok_or(RoutingError::NoRoute)?;
-    let caller =
-        Caller::of(&routes, route, &head.headers).map_err(RoutingError::Unauthenticated)?;
+    let caller = Caller::authenticate(&routes, route, &head.headers)
+        .map_err(RoutingError::Unauthenticated)?;
     let route = route.clone();
     Ok(MatchedRoute {
         routes,
@@ -46,7 +46,7 @@
     /// configuration does not allow the request, a newer one may, so it is rejected only
     /// after a read that started when the request had already arrived.
     pub(crate) async fn route_request(&self, head: &Parts) -> Result<MatchedRoute, Failure> {
-        let unknown = Failure::retryable(
+        let no_configuration = Failure::retryable(
             ErrorKind::Unavailable,
             "no_configuration",
             OUTAGE_RETRY_DELAY,
@@ -72,11 +72,11 @@
                 OUTAGE_RETRY_DELAY,
             ));
         }
-        let routes = self.mirror.view().routes.clone().ok_or(unknown)?;
-        match_route(routes, head).map_err(|rejection| match rejection {
+        let routes = self.mirror.view().routes.clone().ok_or(no_configuration)?;
+        match_route(routes, head).map_err(|reason| match reason {
             RoutingError::NoRoute => Failure::permanent(ErrorKind::NotFound, "no_such_route"),
-            RoutingError::Unauthenticated(cause) => {
-                Failure::permanent(ErrorKind::Unauthorized, cause.name())
+            RoutingError::Unauthenticated(reason) => {
+                Failure::permanent(ErrorKind::Unauthorized, reason.cause())
             }
         })
     }
--- a/crates/stageyoke-front/src/server.rs
+++ b/crates/stageyoke-front/src/server.rs
@@ -96,8 +96,8 @@
     stream: TcpStream,
 ) {
     let service = service_fn(move |request: Request<Incoming>| {
-        let asked = request.uri().path() == front.names.readiness_path;
-        let status = match (asked, front.ready()) {
+        let is_readiness_probe = request.uri().path() == front.names.readiness_path;
+        let status = match (is_readiness_probe, front.ready()) {
             (false, _) => StatusCode::NOT_FOUND,
             (true, true) => StatusCode::OK,
             (true, false) => StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/stageyoke-front/src/shutdown.rs
+++ b/crates/stageyoke-front/src/shutdown.rs
@@ -8,17 +8,17 @@
 
 /// Counter of requests and streams in flight.
 #[derive(Clone, Debug, Default)]
-pub struct RequestTracker(Rc<Inner>);
+pub struct RequestTracker(Rc<TrackerState>);
 
 #[derive(Debug, Default)]
-struct Inner {
+struct TrackerState {
     count: Cell<usize>,
     idle: Notify,
 }
 
 /// Counts one request or stream as in flight until dropped.
 #[derive(Debug)]
-pub struct RequestGuard(Rc<Inner>);
+pub struct RequestGuard(Rc<TrackerState>);
 
 impl RequestTracker {
     /// Counts one more request until the guard is dropped.
@@ -43,10 +43,10 @@
 
 impl Drop for RequestGuard {
     fn drop(&mut self) {
-        let left = self.0.count.get() - 1;
+        let remaining = self.0.count.get() - 1;
         stageyoke_observe::metrics().under_way.dec();
-        self.0.count.set(left);
-        if left == 0 {
+        self.0.count.set(remaining);
+        if remaining == 0 {
             self.0.idle.notify_one();
         }
     }
@@ -56,19 +56,19 @@
 #[derive(Debug, Default)]
 pub struct ShutdownSignal {
     triggered: Cell<bool>,
-    waiting: Notify,
+    waiters: Notify,
 }
 
 impl ShutdownSignal {
     /// Triggers the signal.
     pub fn trigger(&self) {
         self.triggered.set(true);
-        self.waiting.notify_waiters();
+        self.waiters.notify_waiters();
     }
 
     /// Waits until the signal is triggered.
     pub async fn triggered(&self) {
-        let notified = self.waiting.notified();
+        let notified = self.waiters.notified();
         if !self.triggered.get() {
             notified.await;
         }
--- a/crates/stageyoke-front/src/stream_relay.rs
+++ b/crates/stageyoke-front/src/stream_relay.rs
@@ -13,7 +13,7 @@
 use crate::engine_rates::TurnTiming;
 use crate::event_stream::{EventSplitter, collect_data};
 use crate::health::Evidence;
-use crate::history::{History, Reservation, turn_record};
+use crate::history::{History, Reservation, build_turn_record};
 use crate::memory_budget::MemoryGuard;
 use crate::replica::{InFlightGuard, Replica};
 use crate::request::ScopedIdentifiers;
@@ -57,14 +57,16 @@
 impl UpstreamStream {
     /// Returns the timing of a turn that has just ended.
     fn timing(&self, first_event: &FirstEvent, generated_tokens: u32) -> TurnTiming {
-        let beside = |in_flight: u32| f64::from(in_flight.saturating_sub(1));
+        let others_in_flight = |in_flight: u32| f64::from(in_flight.saturating_sub(1));
         let at_end = self.replica.requests_in_flight();
         TurnTiming {
             time_to_first_event: first_event.at - self.sent,
             uncached_tokens: self.uncached_tokens,
             generation_time: first_event.at.elapsed(),
             generated_tokens,
-            concurrent_requests: (beside(first_event.in_flight) + beside(at_end)) / 2.0,
+            concurrent_requests: (others_in_flight(first_event.in_flight)
+                + others_in_flight(at_end))
+                / 2.0,
             queued: first_event.in_flight > self.replica.record.slots,
         }
     }
@@ -98,9 +100,9 @@
 }
 
 enum StreamEnd {
-    Whole,
-    CallerLeft,
-    Cut(&'static str),
+    Complete,
+    CallerDisconnected,
+    Aborted(&'static str),
 }
 
 #[derive(Default)]
@@ -116,7 +118,7 @@
     pub async fn run(mut self, mut body: Incoming, chunks: mpsc::Sender<Chunk>) {
         let mut received = ReceivedEvents::default();
         let end = match self.forward(&mut body, &chunks, &mut received).await {
-            StreamEnd::Whole => {
+            StreamEnd::Complete => {
                 self.record_rates(&received);
                 self.store_turn(received).await
             }
@@ -146,21 +148,21 @@
         loop {
             let frame = tokio::select! {
                 frame = body.frame() => frame,
-                () = chunks.closed() => return StreamEnd::CallerLeft,
-                () = tokio::time::sleep_until(self.deadline) => return StreamEnd::Cut("time_out"),
+                () = chunks.closed() => return StreamEnd::CallerDisconnected,
+                () = tokio::time::sleep_until(self.deadline) => return StreamEnd::Aborted("time_out"),
             };
-            let whole = match frame {
+            let complete_events = match frame {
                 None => {
-                    let rest = splitter.take_remainder();
-                    if !rest.is_empty() && chunks.send(Ok(rest)).await.is_err() {
-                        return StreamEnd::CallerLeft;
+                    let remainder = splitter.take_remainder();
+                    if !remainder.is_empty() && chunks.send(Ok(remainder)).await.is_err() {
+                        return StreamEnd::CallerDisconnected;
                     }
-                    return StreamEnd::Whole;
+                    return StreamEnd::Complete;
                 }
-                Some(Err(_)) => return StreamEnd::Cut(TRUNCATED),
+                Some(Err(_)) => return StreamEnd::Aborted(TRUNCATED),
                 Some(Ok(frame)) => frame.data_ref().and_then(|data| splitter.push(data)),
             };
-            if let Some(events) = whole {
+            if let Some(events) = complete_events {
                 received.first.get_or_insert_with(|| FirstEvent {
                     at: Instant::now(),
                     in_flight: self.upstream.replica.requests_in_flight(),
@@ -169,8 +171,8 @@
                 let sending = tokio::time::timeout_at(self.deadline, chunks.send(Ok(events)));
                 match sending.await {
                     Ok(Ok(())) => {}
-                    Ok(Err(_)) => return StreamEnd::CallerLeft,
-                    Err(_) => return StreamEnd::Cut("time_out"),
+                    Ok(Err(_)) => return StreamEnd::CallerDisconnected,
+                    Err(_) => return StreamEnd::Aborted("time_out"),
                 }
             }
         }
@@ -183,43 +185,43 @@
             .saturating_mul(self.storage.tokens_per_event);
         let used = match self.max_tokens {
             0 => generated,
-            most => generated.min(most),
+            limit => generated.min(limit),
         };
         let Some(input) = self.storage.input.take() else {
             if let Some(reservation) = &mut self.storage.reservation {
                 reservation.settle(used);
             }
-            return StreamEnd::Whole;
+            return StreamEnd::Complete;
         };
         let retention = self.storage.retention;
-        let record = turn_record(&self.identifiers, input, received.output, used, retention);
-        let began = Instant::now();
-        let identifiers = self.storage.history.commit(record, self.deadline).await;
-        self.summary.keeping = began.elapsed().as_millis() as u64;
+        let record = build_turn_record(&self.identifiers, input, received.output, used, retention);
+        let started = Instant::now();
+        let stored = self.storage.history.commit(record, self.deadline).await;
+        self.summary.keeping = started.elapsed().as_millis() as u64;
         if let Some(reservation) = &mut self.storage.reservation {
             reservation.mark_recorded();
         }
-        match identifiers {
-            Ok(()) => StreamEnd::Whole,
-            Err(_) => StreamEnd::Cut("not_kept"),
+        match stored {
+            Ok(()) => StreamEnd::Complete,
+            Err(_) => StreamEnd::Aborted("not_kept"),
         }
     }
 
     async fn finish(self, end: &StreamEnd, chunks: &mpsc::Sender<Chunk>) {
         let mut summary = self.summary;
         summary.outcome = match end {
-            StreamEnd::Whole => "streamed",
-            StreamEnd::CallerLeft => "caller_left",
-            StreamEnd::Cut(reason) => reason,
+            StreamEnd::Complete => "streamed",
+            StreamEnd::CallerDisconnected => "caller_left",
+            StreamEnd::Aborted(reason) => reason,
         };
-        if !matches!(end, StreamEnd::Whole) {
+        if !matches!(end, StreamEnd::Complete) {
             summary.status = 0;
         }
         observe::request_ended(&summary, self.arrived.elapsed());
         match end {
-            StreamEnd::Whole => self.upstream.replica.pool.release(self.upstream.connection),
-            StreamEnd::CallerLeft => {}
-            StreamEnd::Cut(reason) => {
+            StreamEnd::Complete => self.upstream.replica.pool.release(self.upstream.connection),
+            StreamEnd::CallerDisconnected => {}
+            StreamEnd::Aborted(reason) => {
                 if *reason == TRUNCATED {
                     self.upstream.replica.record(Evidence::Lost);
                 }
--- a/crates/stageyoke-front/src/tenant_warnings.rs
+++ b/crates/stageyoke-front/src/tenant_warnings.rs
@@ -40,8 +40,8 @@
             ),
         ];
         let changed = lines.into_iter().filter(|(_, reported, found)| {
-            let former = reported.replace(found.clone());
-            !found.is_empty() && former != *found
+            let previous = reported.replace(found.clone());
+            !found.is_empty() && previous != *found
         });
         changed
             .map(|(event, _, found)| (event, format!("version={} {found}", routes.version)))
--- a/crates/stageyoke-front/src/turn_preparation.rs
+++ b/crates/stageyoke-front/src/turn_preparation.rs
@@ -24,7 +24,7 @@
 const FAIL_FAST_DELAY: Duration = Duration::from_millis(800);
 impl<S: KeyValueService + 'static, I: Interpreter + 'static> Front<S, I> {
     /// Reads the transcript that this turn continues, if any.
-    pub(crate) async fn transcript(
+    pub(crate) async fn read_transcript(
         &self,
         context: &RequestContext,
     ) -> Result<Option<Bytes>, Failure> {
@@ -34,14 +34,14 @@
         if !context.route.stores_history {
             return Ok(None);
         }
-        let left = context
+        let remaining = context
             .outbound
             .deadline
             .saturating_duration_since(Instant::now());
-        let within = left.min(LOOKUP_TIMEOUT);
+        let time_limit = remaining.min(LOOKUP_TIMEOUT);
         match self
             .history
-            .transcript(&context.identifiers.program, previous, within)
+            .read_transcript(&context.identifiers.program, previous, time_limit)
             .await
         {
             Transcript::Found(text) => Ok(Some(text)),
@@ -74,7 +74,7 @@
         &self,
         context: &RequestContext,
         placement: Option<Placement>,
-        note: &RefCell<String>,
+        detail: &RefCell<String>,
     ) -> Result<Option<Reservation>, Failure> {
         let parameters = &context.parameters;
         let Some(budget) = parameters.budget else {
@@ -87,7 +87,7 @@
             context.identifiers.program.clone(),
             context.identifiers.turn.clone(),
         );
-        let left = context
+        let remaining = context
             .outbound
             .deadline
             .saturating_duration_since(Instant::now());
@@ -97,31 +97,33 @@
             let after = self.group_retry_delay(context);
             return Err(Failure::retryable(ErrorKind::Unavailable, cause, after));
         }
-        let within = left.mul_f64(RESERVE_TIME_FRACTION).min(RESERVE_TIMEOUT);
+        let time_limit = remaining
+            .mul_f64(RESERVE_TIME_FRACTION)
+            .min(RESERVE_TIMEOUT);
         let reservation = Reservation::new(self.history.clone(), program.clone(), turn.clone());
-        let most = parameters.max_tokens;
+        let max_tokens = parameters.max_tokens;
         let reserve = || {
             let history = &self.history;
-            history.reserve(&program, &turn, most, placement, within)
+            history.reserve(&program, &turn, max_tokens, placement, time_limit)
         };
         let mut ledger = reserve().await;
         if matches!(ledger, Err(GroupError::StaleMembers)) {
             ledger = reserve().await;
         }
         let ledger = ledger.map_err(|error| {
-            *note.borrow_mut() = format!("budget={budget} most={most} error={error}");
+            *detail.borrow_mut() = format!("budget={budget} most={max_tokens} error={error}");
             Failure::retryable(
                 ErrorKind::Unavailable,
                 "budget_not_reserved",
                 self.group_retry_delay(context),
             )
         })?;
-        let others = ledger.total_excluding(&turn);
-        *note.borrow_mut() = format!(
-            "budget={budget} others={others} most={most} turns={}",
+        let other_tokens = ledger.total_excluding(&turn);
+        *detail.borrow_mut() = format!(
+            "budget={budget} others={other_tokens} most={max_tokens} turns={}",
             ledger.turns()
         );
-        if others + u64::from(most) > budget {
+        if other_tokens + u64::from(max_tokens) > budget {
             return Err(Failure::permanent(
                 ErrorKind::TokenBudgetSpent,
                 "budget_spent",
--- a/crates/stageyoke-front/tests/access_test.rs
+++ b/crates/stageyoke-front/tests/access_test.rs
@@ -125,7 +125,7 @@
 #[case(ErrorKind::BackEndFailed, false)]
 #[case(ErrorKind::DeadlineExceeded, false)]
 fn only_what_has_not_run_is_given_back(#[case] kind: ErrorKind, #[case] given_back: bool) {
-    assert_eq!(Failure::permanent(kind, "cause").is_not_run(), given_back);
+    assert_eq!(Failure::permanent(kind, "cause").has_not_run(), given_back);
 }
 
 /// Each tenant of a deployment had the same rank, and engines were told how far that was
