--- a/crates/stageyoke-front/src/baseline_latency.rs
+++ b/crates/stageyoke-front/src/baseline_latency.rs
@@ -40,7 +40,7 @@
         Some(baseline.mul_f64(TIMEOUT_FACTOR).max(MIN_RESPONSE_TIMEOUT))
     }
 
-    /// Adds the latency of a response and returns its ratio to the baseline before.
+    /// Adds the latency of a response and returns its ratio to the previous baseline.
     pub fn record_slowdown(&self, route: &Text, latency: Duration) -> f64 {
         let logarithm = latency.max(MIN_LATENCY).as_secs_f64().ln();
         let mut logarithms = self.logarithms.borrow_mut();
--- a/crates/stageyoke-front/src/dispatch.rs
+++ b/crates/stageyoke-front/src/dispatch.rs
@@ -300,7 +300,7 @@
         let reply = *reply;
         let (head, _) = reply.response.into_parts();
         reply.replica.pool.release(reply.connection);
-        Ok(DispatchedResponse::Whole(head, content))
+        Ok(DispatchedResponse::Plain(head, content))
     }
 }
 
@@ -352,7 +352,7 @@
 /// Response that is forwarded to the caller.
 pub(crate) enum DispatchedResponse {
     /// Complete plain response.
-    Whole(hyper::http::response::Parts, Bytes),
+    Plain(hyper::http::response::Parts, Bytes),
     /// Stream whose body is still to be relayed, and the tokens of its prompt that the
     /// replica was not expected to have cached.
     Stream(Box<ReplicaResponse>, u32),
@@ -370,8 +370,8 @@
 /// Classifies a response as evidence of the replica's health.
 fn response_evidence(dispatched: &DispatchedResponse) -> Evidence {
     match dispatched {
-        DispatchedResponse::Whole(head, _) if head.status.is_server_error() => Evidence::Failed,
-        DispatchedResponse::Whole(..) | DispatchedResponse::Stream(..) => Evidence::Sound,
+        DispatchedResponse::Plain(head, _) if head.status.is_server_error() => Evidence::Failed,
+        DispatchedResponse::Plain(..) | DispatchedResponse::Stream(..) => Evidence::Sound,
     }
 }
 
--- a/crates/stageyoke-front/src/front.rs
+++ b/crates/stageyoke-front/src/front.rs
@@ -54,7 +54,7 @@
     pub zone: Text,
     /// Addresses of some stores, for startup during a service outage.
     pub seeds: Vec<String>,
-    /// Failures of store members that must be survived at once.
+    /// Simultaneous failures of store members to tolerate.
     pub tolerance: Tolerance,
     /// Time from the shutdown signal until the process is killed.
     pub grace: Duration,
--- a/crates/stageyoke-front/src/handler.rs
+++ b/crates/stageyoke-front/src/handler.rs
@@ -304,7 +304,7 @@
         reservation: Option<Reservation>,
     ) -> Response<ResponseBody> {
         let (reply, uncached_tokens) = match served {
-            DispatchedResponse::Whole(head, content) => {
+            DispatchedResponse::Plain(head, content) => {
                 summary.status = head.status.as_u16();
                 summary.outcome = "answered";
                 observe::request_ended(summary, context.arrived.elapsed());
--- a/crates/stageyoke-front/src/history.rs
+++ b/crates/stageyoke-front/src/history.rs
@@ -31,7 +31,7 @@
     Found(Bytes),
     /// No stored turn has this identifier.
     Absent,
-    /// The stores could not tell.
+    /// The stores gave no conclusive answer.
     Unknown,
 }
 
@@ -137,8 +137,8 @@
     pub async fn commit(&self, record: TurnRecord, deadline: Instant) -> Result<(), GroupError> {
         let started = Instant::now();
         loop {
-            let left = deadline.saturating_duration_since(Instant::now());
-            let time_limit = left.min(COMMIT_ATTEMPT_TIMEOUT);
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let time_limit = remaining.min(COMMIT_ATTEMPT_TIMEOUT);
             let error = match self
                 .stores
                 .append(Record::Turn(record.clone()), time_limit)
--- a/crates/stageyoke-front/src/idle_limit.rs
+++ b/crates/stageyoke-front/src/idle_limit.rs
@@ -45,8 +45,8 @@
     /// Returns the maximum idle time of a connection that may be reused, or `None` while
     /// announced keep-alive timeouts are trusted.
     pub fn max_idle(&self, now: Instant) -> Option<Duration> {
-        let known = self.is_active(now) && self.resets >= RESETS_TO_LIMIT;
-        known.then(|| self.shortest_idle.mul_f64(SAFE_FRACTION))
+        let applies = self.is_active(now) && self.resets >= RESETS_TO_LIMIT;
+        applies.then(|| self.shortest_idle.mul_f64(SAFE_FRACTION))
     }
 
     fn is_active(&self, now: Instant) -> bool {
--- a/crates/stageyoke-front/src/replica_log.rs
+++ b/crates/stageyoke-front/src/replica_log.rs
@@ -86,9 +86,9 @@
         .take(MAX_NAMED_REPLICAS)
         .map(Text::as_str)
         .collect();
-    let others = replicas.len() - names.len();
-    match others {
+    let omitted = replicas.len() - names.len();
+    match omitted {
         0 => format!("[{}]", names.join(",")),
-        _ => format!("[{},+{others}]", names.join(",")),
+        _ => format!("[{},+{omitted}]", names.join(",")),
     }
 }
--- a/crates/stageyoke-front/src/replica_registry.rs
+++ b/crates/stageyoke-front/src/replica_registry.rs
@@ -109,8 +109,8 @@
     fn group_by_service(&self) {
         let mut services: HashMap<Text, Vec<Rc<Replica>>> = HashMap::new();
         for replica in self.replicas.borrow().values() {
-            let list = services.entry(replica.record.service.clone()).or_default();
-            list.push(replica.clone());
+            let members = services.entry(replica.record.service.clone()).or_default();
+            members.push(replica.clone());
         }
         for replicas in services.values_mut() {
             self.assign_cells(replicas);
--- a/crates/stageyoke-front/src/response_body.rs
+++ b/crates/stageyoke-front/src/response_body.rs
@@ -60,8 +60,8 @@
     ) -> Poll<Option<Result<Frame<Bytes>, TruncatedResponse>>> {
         match &mut *self {
             Self::Full(content, _) => {
-                let rest = content.take().filter(|content| !content.is_empty());
-                Poll::Ready(rest.map(|content| Ok(Frame::data(content))))
+                let remaining = content.take().filter(|content| !content.is_empty());
+                Poll::Ready(remaining.map(|content| Ok(Frame::data(content))))
             }
             Self::Stream(chunks) => chunks
                 .poll_recv(context)
