--- a/crates/stageyoke-front/src/admission.rs
+++ b/crates/stageyoke-front/src/admission.rs
@@ -75,7 +75,7 @@
         if !self.may_reject(context) || self.started_programs.has_started(program) {
             return Ok(());
         }
-        let Some(contention) = self.contention(context) else {
+        let Some(contention) = self.measure_contention(context) else {
             return Ok(());
         };
         let order = unit(mix(hash_text(program)));
@@ -108,7 +108,7 @@
             && !parameters.program.is_empty()
     }
 
-    fn contention(&self, context: &RequestContext) -> Option<EngineLoad> {
+    fn measure_contention(&self, context: &RequestContext) -> Option<EngineLoad> {
         let ranked = context.outbound.ranked?;
         Some(EngineLoad {
             slots: self.registry.total_slots(&context.service.name),
--- a/crates/stageyoke-front/src/authentication.rs
+++ b/crates/stageyoke-front/src/authentication.rs
@@ -57,8 +57,8 @@
 /// Authenticated caller of a request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Caller {
-    /// Tenant that holds the request's key; `None` on a route without keys for callers
-    /// without a known key.
+    /// Tenant that holds the request's key; `None` if the route requires no key and the
+    /// request carries no known one.
     pub tenant: Option<Tenant>,
     /// Whether the configuration has tenants, which means that the authorization header is
     /// meant for the front.
--- a/crates/stageyoke-front/src/front.rs
+++ b/crates/stageyoke-front/src/front.rs
@@ -130,16 +130,16 @@
 
 impl<S: KeyValueService + 'static, I: Interpreter + 'static> Front<S, I> {
     /// Returns whether a planned shutdown is in progress.
-    pub fn draining(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.draining.get()
     }
 
     /// Returns whether the front should get new connections.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         let view = self.mirror.view();
         let failing = self.history.stores.all_failing_for();
         let stores_available = failing.is_none_or(|failing| failing < UNREADY_DELAY);
-        view.routes.is_some() && !self.draining() && stores_available
+        view.routes.is_some() && !self.is_draining() && stores_available
     }
 
     /// Probes failing store groups until they recover, and reapplies the replica list when
--- a/crates/stageyoke-front/src/handler.rs
+++ b/crates/stageyoke-front/src/handler.rs
@@ -67,9 +67,9 @@
         let arrived = Instant::now();
         let _request_guard = self.requests.track();
         let mut pending = PendingRequest::new(arrived);
-        let served = self.serve(request, arrived, &mut pending.summary).await;
+        let outcome = self.serve(request, arrived, &mut pending.summary).await;
         let mut summary = pending.into_summary();
-        let mut response = match served {
+        let mut response = match outcome {
             Ok(response) => response,
             Err(failure) => {
                 summary.outcome = failure.cause;
@@ -80,7 +80,7 @@
                 self.echo_request_id(failure::build_response(&failure), &summary)
             }
         };
-        if !self.ready() {
+        if !self.is_ready() {
             // The load balancer sends new connections elsewhere; closing this one moves its
             // caller too.
             let close = HeaderValue::from_static("close");
@@ -253,10 +253,10 @@
         }
         self.started_programs.record(&context.identifiers.program);
         summary.offered_after = context.arrived.elapsed().as_millis() as u64;
-        let served = self
+        let dispatched = self
             .dispatch(&mut context, summary, &mut reservation, expected)
             .await?;
-        Ok(self.forward(context, served, summary, reservation))
+        Ok(self.forward(context, dispatched, summary, reservation))
     }
 
     /// Reserves the turn, reads its transcript and charges the tenant's quota, all
@@ -299,11 +299,11 @@
     fn forward(
         self: &Rc<Self>,
         context: RequestContext,
-        served: DispatchedResponse,
+        dispatched: DispatchedResponse,
         summary: &mut Summary,
         reservation: Option<Reservation>,
     ) -> Response<ResponseBody> {
-        let (reply, uncached_tokens) = match served {
+        let (reply, uncached_tokens) = match dispatched {
             DispatchedResponse::Plain(head, content) => {
                 summary.status = head.status.as_u16();
                 summary.outcome = "answered";
--- a/crates/stageyoke-front/src/idle_limit.rs
+++ b/crates/stageyoke-front/src/idle_limit.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 /// Number of resets after which a limit applies; a single one may be a restart.
-const RESETS_TO_LIMIT: u32 = 2;
+const MIN_RESETS: u32 = 2;
 /// Time after the last reset at which the limit expires.
 const LIMIT_LIFETIME: Duration = Duration::from_secs(6);
 /// Fraction of the shortest fatal idle time that is still considered safe.
@@ -45,7 +45,7 @@
     /// Returns the maximum idle time of a connection that may be reused, or `None` while
     /// announced keep-alive timeouts are trusted.
     pub fn max_idle(&self, now: Instant) -> Option<Duration> {
-        let applies = self.is_active(now) && self.resets >= RESETS_TO_LIMIT;
+        let applies = self.is_active(now) && self.resets >= MIN_RESETS;
         applies.then(|| self.shortest_idle.mul_f64(SAFE_FRACTION))
     }
 
--- a/crates/stageyoke-front/src/placement.rs
+++ b/crates/stageyoke-front/src/placement.rs
@@ -124,8 +124,9 @@
     zone_cost + connect_cost
 }
 
-/// Selects a program's home engine by its hash. Only engines of the front's own zone take
-/// part if there are enough of them, which saves connections and cross-zone round trips.
+/// Selects a program's home engine by rendezvous hashing. Only engines of the front's own
+/// zone take part if there are enough of them, which saves connections and cross-zone round
+/// trips.
 fn home_engine(candidates: &[Candidate], affinity: u64) -> Option<usize> {
     let has_cell = candidates
         .iter()
--- a/crates/stageyoke-front/src/replica_registry.rs
+++ b/crates/stageyoke-front/src/replica_registry.rs
@@ -18,9 +18,9 @@
 use crate::replica::{Replica, SharedState};
 use crate::replica_log;
 
-/// Missing replicas count as lapsed only if they are more than one in this many of their
-/// service. If fewer are missing, the remaining ones can carry the load, and skipping the
-/// missing ones costs less than sending requests to processes that may have ended.
+/// A service's missing replicas count as lapsed only if more than one in this many is
+/// missing. Otherwise the remaining ones can carry the load, and skipping the missing ones
+/// costs less than sending requests to processes that may have ended.
 const LAPSE_DIVISOR: usize = 4;
 
 /// Minimum number of replicas per store group for a service to be divided into cells. In
@@ -56,10 +56,14 @@
     }
 
     /// Applies the replica list. A missing replica gets no new requests, unless its entry
-    /// may have expired during a service outage: such a replica is used until `back_until`,
-    /// by which time it is listed again or has ended.
-    pub fn apply_list(&self, records: &BTreeMap<Text, ReplicaRecord>, back_until: Option<Instant>) {
-        let removed = self.remove_missing(records, back_until);
+    /// may have expired during a service outage: such a replica is used until
+    /// `lapse_deadline`, by which time it is listed again or has ended.
+    pub fn apply_list(
+        &self,
+        records: &BTreeMap<Text, ReplicaRecord>,
+        lapse_deadline: Option<Instant>,
+    ) {
+        let removed = self.remove_missing(records, lapse_deadline);
         let added = self.add_new(records);
         let now = self.replicas.borrow().len();
         replica_log::log_replica_changes(&added, &removed, now);
@@ -70,11 +74,11 @@
     fn remove_missing(
         &self,
         records: &BTreeMap<Text, ReplicaRecord>,
-        back_until: Option<Instant>,
+        lapse_deadline: Option<Instant>,
     ) -> Vec<Text> {
         let mut replicas = self.replicas.borrow_mut();
-        let back_until = back_until.filter(|until| *until > Instant::now());
-        if let Some(until) = back_until {
+        let lapse_deadline = lapse_deadline.filter(|until| *until > Instant::now());
+        if let Some(until) = lapse_deadline {
             mark_lapsed(&replicas, records, until);
         }
         let mut removed = Vec::new();
--- a/crates/stageyoke-front/src/server.rs
+++ b/crates/stageyoke-front/src/server.rs
@@ -97,7 +97,7 @@
 ) {
     let service = service_fn(move |request: Request<Incoming>| {
         let is_readiness_probe = request.uri().path() == front.names.readiness_path;
-        let status = match (is_readiness_probe, front.ready()) {
+        let status = match (is_readiness_probe, front.is_ready()) {
             (false, _) => StatusCode::NOT_FOUND,
             (true, true) => StatusCode::OK,
             (true, false) => StatusCode::SERVICE_UNAVAILABLE,
