--- a/crates/stageyoke-front/src/turn_preparation.rs
+++ b/crates/stageyoke-front/src/turn_preparation.rs
@@ -69,7 +69,7 @@
     }
 
     /// Reserves the turn's maximum number of tokens, and writes the inputs of the decision
-    /// to `note`.
+    /// to `detail`.
     pub(crate) async fn reserve(
         &self,
         context: &RequestContext,
