--- a/crates/stageyoke-front/src/admission.rs
+++ b/crates/stageyoke-front/src/admission.rs
@@ -1,6 +1,6 @@
 //! Admission control for new programs: rejects a program's first turn while the service's
 //! engines are overloaded, judged by the requests that all fronts have in flight
-//! (`stageyoke_policy::contention`).
+//! (`stageyoke_policy::admission`).
 
 use std::cell::RefCell;
 use std::collections::{HashSet, VecDeque};
@@ -75,11 +75,11 @@
         if !self.may_reject(context) || self.started_programs.has_started(program) {
             return Ok(());
         }
-        let Some(contention) = self.measure_contention(context) else {
+        let Some(load) = self.measure_engine_load(context) else {
             return Ok(());
         };
         let order = unit(mix(hash_text(program)));
-        let AdmissionDecision::Rejected(after) = contention.decide(order) else {
+        let AdmissionDecision::Rejected(after) = load.decide(order) else {
             return Ok(());
         };
         let started = self
@@ -87,7 +87,7 @@
             .stores
             .has_started(program, STORE_QUERY_TIMEOUT)
             .await;
-        summary.placement = describe_contention(&contention, order, started);
+        summary.placement = describe_engine_load(&load, order, started);
         if started != Some(false) {
             return Ok(());
         }
@@ -108,7 +108,7 @@
             && !parameters.program.is_empty()
     }
 
-    fn measure_contention(&self, context: &RequestContext) -> Option<EngineLoad> {
+    fn measure_engine_load(&self, context: &RequestContext) -> Option<EngineLoad> {
         let ranked = context.outbound.ranked?;
         Some(EngineLoad {
             slots: self.registry.total_slots(&context.service.name),
@@ -117,19 +117,19 @@
     }
 }
 
-fn describe_contention(contention: &EngineLoad, order: f64, started: Option<bool>) -> String {
+fn describe_engine_load(load: &EngineLoad, order: f64, started: Option<bool>) -> String {
     let EngineLoad {
-        slots: places,
-        competing_turns: as_urgent,
-    } = contention;
-    let share = contention.admitted_share();
+        slots,
+        competing_turns,
+    } = load;
+    let share = load.admitted_share();
     let started = match started {
         Some(true) => "yes",
         Some(false) => "no",
         None => "unknown",
     };
     format!(
-        "places={places} as_urgent={as_urgent} share={share:.2} order={order:.2} begun={started}"
+        "places={slots} as_urgent={competing_turns} share={share:.2} order={order:.2} begun={started}"
     )
 }
 
--- a/crates/stageyoke-front/src/quota.rs
+++ b/crates/stageyoke-front/src/quota.rs
@@ -91,7 +91,7 @@
             per_second: limit.per_second,
             burst: limit.burst,
         };
-        let query = AcquireRequest {
+        let acquire_request = AcquireRequest {
             tenant: tenant_key(request.tenant),
             program: match request.program.is_empty() {
                 true => 0,
@@ -101,15 +101,15 @@
             version: request.version,
             standby: false,
         };
-        let (verdict, grant) = self.query_owners(query).await;
+        let (decision, grant) = self.query_owners(acquire_request).await;
         let now = self.started.elapsed();
-        match verdict {
+        match decision {
             QuotaDecision::Granted => Ok(grant),
             QuotaDecision::Rejected(after) => {
-                self.with_tenant(&query, now, |state| state.rejected_at = Some(now));
+                self.with_tenant(&acquire_request, now, |state| state.rejected_at = Some(now));
                 Err(rejection("quota_spent", after))
             }
-            QuotaDecision::Unknown => self.take_local_share(&query, now).map(|()| None),
+            QuotaDecision::Unknown => self.take_local_share(&acquire_request, now).map(|()| None),
         }
     }
 
@@ -118,11 +118,14 @@
         self.stores.refund(grant);
     }
 
-    async fn query_owners(&self, query: AcquireRequest) -> (QuotaDecision, Option<QuotaGrant>) {
+    async fn query_owners(
+        &self,
+        acquire_request: AcquireRequest,
+    ) -> (QuotaDecision, Option<QuotaGrant>) {
         if self.stores.all_failing_for().is_some() {
             return (QuotaDecision::Unknown, None);
         }
-        let Some(decision) = self.stores.request_quota(query).await else {
+        let Some(decision) = self.stores.request_quota(acquire_request).await else {
             return (QuotaDecision::Unknown, None);
         };
         if decision.fronts > 0 {
@@ -131,9 +134,15 @@
         (decision.verdict, decision.grant)
     }
 
-    fn take_local_share(&self, query: &AcquireRequest, now: Duration) -> Result<(), Failure> {
+    fn take_local_share(
+        &self,
+        acquire_request: &AcquireRequest,
+        now: Duration,
+    ) -> Result<(), Failure> {
         self.log_unknown();
-        let granted = self.with_tenant(query, now, |state| state.local_share.try_acquire(now));
+        let granted = self.with_tenant(acquire_request, now, |state| {
+            state.local_share.try_acquire(now)
+        });
         match granted {
             true => Ok(()),
             false => Err(rejection("quota_share_spent", SHORT_RETRY_DELAY)),
@@ -149,24 +158,26 @@
 
     fn with_tenant<T>(
         &self,
-        query: &AcquireRequest,
+        acquire_request: &AcquireRequest,
         now: Duration,
         update: impl FnOnce(&mut TenantState) -> T,
     ) -> T {
         let mut tenants = self.tenants.borrow_mut();
-        if tenants.len() >= MAX_TENANTS && !tenants.contains_key(&query.tenant) {
+        if tenants.len() >= MAX_TENANTS && !tenants.contains_key(&acquire_request.tenant) {
             evict_unused(&mut tenants);
         }
         let fraction = LOCAL_SHARE_FRACTION / f64::from(self.fronts.get());
-        let limit = query.limit.scaled(fraction);
-        let state = tenants.entry(query.tenant).or_insert_with(|| TenantState {
-            local_share: TokenBucket::new(limit, limit.burst, now),
-            version: query.version,
-            rejected_at: None,
-            last_used: now,
-        });
-        if query.version > state.version || state.local_share.limit() != limit {
-            state.version = state.version.max(query.version);
+        let limit = acquire_request.limit.scaled(fraction);
+        let state = tenants
+            .entry(acquire_request.tenant)
+            .or_insert_with(|| TenantState {
+                local_share: TokenBucket::new(limit, limit.burst, now),
+                version: acquire_request.version,
+                rejected_at: None,
+                last_used: now,
+            });
+        if acquire_request.version > state.version || state.local_share.limit() != limit {
+            state.version = state.version.max(acquire_request.version);
             state.local_share.set_limit(limit, now);
         }
         state.last_used = now;
