--- a/crates/stageyoke-front/src/admission.rs
+++ b/crates/stageyoke-front/src/admission.rs
@@ -1,5 +1,6 @@
-//! Programs' first turns: whether one begins now, by what all fronts have under way at
-//! its service's engines (`stageyoke_policy::contention`).
+//! Admission control for new programs: rejects a program's first turn while the service's
+//! engines are overloaded, judged by the requests that all fronts have in flight
+//! (`stageyoke_policy::admission`).
 
 use std::cell::RefCell;
 use std::collections::{HashSet, VecDeque};
@@ -16,54 +17,55 @@
 use crate::handler::RequestContext;
 use crate::placement::hash_text;
 
-/// How long stores are asked whether a program has begun: a few ways to a store and back.
-const ASK_WITHIN: Duration = Duration::from_millis(60);
-/// Programs that a front remembers as begun, 40 bytes each; stores know the others.
+/// Timeout for asking the stores whether a program has started: a few round trips.
+const STORE_QUERY_TIMEOUT: Duration = Duration::from_millis(60);
+/// Programs retained in memory, at 40 bytes each. The stores know about evicted ones.
 const MAX_STARTED_PROGRAMS: usize = 4096;
 
-/// Programs of which this front has lately offered a turn to an engine.
+/// Bounded set of programs whose turns this front recently dispatched to an engine.
 #[derive(Debug, Default)]
 pub struct StartedPrograms {
-    known: RefCell<HashSet<u64>>,
-    order: RefCell<VecDeque<u64>>,
+    programs: RefCell<HashSet<u64>>,
+    insertion_order: RefCell<VecDeque<u64>>,
 }
 
 impl StartedPrograms {
-    /// A turn of the program is offered to an engine.
+    /// Marks the program as started, evicting the oldest entry when the set is full.
     pub fn record(&self, program: &str) {
         let key = hash_text(program);
-        if !self.known.borrow_mut().insert(key) {
+        if !self.programs.borrow_mut().insert(key) {
             return;
         }
-        let mut order = self.order.borrow_mut();
+        let mut order = self.insertion_order.borrow_mut();
         order.push_back(key);
         if order.len() > MAX_STARTED_PROGRAMS
             && let Some(oldest) = order.pop_front()
         {
-            self.known.borrow_mut().remove(&oldest);
+            self.programs.borrow_mut().remove(&oldest);
         }
     }
 
-    /// Whether a turn of it was offered.
+    /// Returns whether the program is in the set; an evicted program is not.
     pub fn has_started(&self, program: &str) -> bool {
-        self.known.borrow().contains(&hash_text(program))
+        self.programs.borrow().contains(&hash_text(program))
     }
 
-    /// Programs that are remembered.
+    /// Returns the number of retained programs.
     pub fn len(&self) -> usize {
-        self.known.borrow().len()
+        self.programs.borrow().len()
     }
 
-    /// Whether none is.
+    /// Returns whether no program is retained.
     pub fn is_empty(&self) -> bool {
-        self.known.borrow().is_empty()
+        self.programs.borrow().is_empty()
     }
 }
 
 impl<S: KeyValueService + 'static, I: Interpreter + 'static> Front<S, I> {
-    /// Turns away a program's first turn while engines have no room for it: before
-    /// anything is reserved or counted for it, so that it has not run. Where the counts
-    /// are not known, or no store can tell whether the program has begun, it goes on.
+    /// Rejects a program's first turn while engines have no free capacity for it. This runs
+    /// before anything is reserved or counted, so a rejected turn has had no effect. The
+    /// turn is admitted if load counts are missing or no store can tell whether the program
+    /// has started.
     pub(crate) async fn admit_program(
         &self,
         context: &RequestContext,
@@ -73,15 +75,19 @@
         if !self.may_reject(context) || self.started_programs.has_started(program) {
             return Ok(());
         }
-        let Some(contention) = self.contention(context) else {
+        let Some(load) = self.measure_engine_load(context) else {
             return Ok(());
         };
         let order = to_unit_interval(mix(hash_text(program)));
-        let AdmissionDecision::Rejected(after) = contention.decide(order) else {
+        let AdmissionDecision::Rejected(after) = load.decide(order) else {
             return Ok(());
         };
-        let started = self.history.stores.has_started(program, ASK_WITHIN).await;
-        summary.placement = describe(&contention, order, started);
+        let started = self
+            .history
+            .stores
+            .has_started(program, STORE_QUERY_TIMEOUT)
+            .await;
+        summary.placement = describe_engine_load(&load, order, started);
         if started != Some(false) {
             return Ok(());
         }
@@ -90,8 +96,8 @@
         Err(Failure::retryable(ErrorKind::Overloaded, cause, after))
     }
 
-    /// Whether the operator has first turns limited, and this may be one whose program
-    /// the stores know.
+    /// Returns whether admission control applies to this request: it is enabled, and the
+    /// request is a streaming engine turn that could be its program's first.
     fn may_reject(&self, context: &RequestContext) -> bool {
         let parameters = &context.parameters;
         self.admission_control
@@ -102,7 +108,7 @@
             && !parameters.program.is_empty()
     }
 
-    fn contention(&self, context: &RequestContext) -> Option<EngineLoad> {
+    fn measure_engine_load(&self, context: &RequestContext) -> Option<EngineLoad> {
         let ranked = context.outbound.ranked?;
         Some(EngineLoad {
             slots: self.registry.total_slots(&context.service.name),
@@ -111,23 +117,24 @@
     }
 }
 
-fn describe(contention: &EngineLoad, order: f64, started: Option<bool>) -> String {
+fn describe_engine_load(load: &EngineLoad, order: f64, started: Option<bool>) -> String {
     let EngineLoad {
-        slots: places,
-        competing_turns: as_urgent,
-    } = contention;
-    let share = contention.admitted_share();
+        slots,
+        competing_turns,
+    } = load;
+    let share = load.admitted_share();
     let started = match started {
         Some(true) => "yes",
         Some(false) => "no",
         None => "unknown",
     };
     format!(
-        "places={places} as_urgent={as_urgent} share={share:.2} order={order:.2} begun={started}"
+        "places={slots} as_urgent={competing_turns} share={share:.2} order={order:.2} begun={started}"
     )
 }
 
-/// The short number of a service, as fronts and stores tell it.
+/// Hashes a service name to the 32-bit identifier used in load reports between fronts and
+/// stores.
 pub fn service_hash(service: &Text) -> u32 {
     mix(hash_text(service)) as u32
 }
--- a/crates/stageyoke-front/src/dispatch.rs
+++ b/crates/stageyoke-front/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Offers a request to replicas: which one, how often, and what its answer shows.
+//! Dispatches a request to replicas: chooses them, retries, and evaluates their responses.
 
 use std::rc::Rc;
 
@@ -21,21 +21,21 @@
 use crate::replica::Replica;
 use crate::replica_registry::ReplicaQuery;
 
-/// Replicas that one request is offered to at most.
+/// Maximum number of replicas that one request is sent to.
 const MAX_ATTEMPTED_REPLICAS: usize = 5;
-/// Idle replicas whose refusals show that the request itself is at fault: one may
-/// refuse for a reason of its own.
+/// Number of idle replicas whose rejections show that the request itself is at fault. A
+/// single replica may reject for a reason of its own.
 const MIN_IDLE_REJECTIONS: usize = 2;
-/// Outcome of a try whose answer took far longer than answers do.
-const NO_ANSWER: &str = "no_answer";
-/// Outcome of a plain answer that did not come whole.
+/// Outcome of an attempt whose response is overdue.
+const OVERDUE: &str = "no_answer";
+/// Outcome of a plain response that was truncated.
 const TRUNCATED: &str = "answer_broke_off";
-/// Largest plain answer.
-const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
+/// Maximum size of a plain response.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 impl<S: KeyValueService + 'static, I: Interpreter + 'static> Front<S, I> {
-    /// Offers the request to replicas until one answers or none is left that
-    /// may be tried.
+    /// Sends the request to one replica after another until one responds or no further
+    /// attempt is allowed.
     pub(crate) async fn dispatch(
         &self,
         context: &mut RequestContext,
@@ -60,7 +60,7 @@
             summary.placement = chosen.explanation;
             let replica = chosen.replica;
             excluded.push(replica.id.clone());
-            let placement = placement_at(context, &replica);
+            let placement = build_placement(context, &replica);
             if let Some(reservation) = reservation
                 && reported.map(|reported| reported.replica) != Some(placement.replica)
             {
@@ -69,35 +69,38 @@
             }
             set_may_have_run(reservation, true);
             let sent = Instant::now();
-            let sending = attempt::send(&context.outbound, &replica, &self.names);
-            let may_try_another = runs + 1 < max_runs;
+            let response = attempt::send(&context.outbound, &replica, &self.names);
+            let may_retry_elsewhere = runs + 1 < max_runs;
             summary.pending = replica.id.to_string();
-            let another = || may_try_another && self.choose(context, &excluded).is_some();
-            let outcome = self.await_answer(context, sending, another).await;
+            let has_alternative =
+                || may_retry_elsewhere && self.choose(context, &excluded).is_some();
+            let outcome = self
+                .await_response(context, response, has_alternative)
+                .await;
             summary.pending.clear();
             let cause = match outcome {
-                Err(AttemptTimeout::TryAnother) => {
+                Err(AttemptTimeout::Overdue) => {
                     self.record_latency(context, &replica, sent);
                     replica.record(Evidence::Lost);
-                    NO_ANSWER
+                    OVERDUE
                 }
-                Err(AttemptTimeout::Deadline) => {
+                Err(AttemptTimeout::DeadlineExceeded) => {
                     record_attempt(summary, &replica.id, "time_out");
                     self.record_latency(context, &replica, sent);
                     return Err(Failure::permanent(ErrorKind::DeadlineExceeded, "time_out"));
                 }
-                Ok(AttemptOutcome::Answered(answer)) => {
+                Ok(AttemptOutcome::Responded(reply)) => {
                     summary.response_head_ms = context.arrived.elapsed().as_millis() as u64;
                     let uncached_tokens = chosen.uncached_tokens;
                     match self
-                        .complete(context, answer, uncached_tokens, may_try_another)
+                        .validate_response(context, reply, uncached_tokens, may_retry_elsewhere)
                         .await
                     {
-                        Ok(served) => {
+                        Ok(dispatched) => {
                             record_attempt(summary, &replica.id, "answered");
                             self.record_latency(context, &replica, sent);
-                            replica.record(evidence_of(&served));
-                            return Ok(served);
+                            replica.record(response_evidence(&dispatched));
+                            return Ok(dispatched);
                         }
                         Err(cause) => {
                             replica.record(match cause {
@@ -154,35 +157,36 @@
         allowed
     }
 
-    /// Waits for the head of an answer; not to the end where there is another replica
-    /// to try and the answer takes far longer than answers do.
-    async fn await_answer(
+    /// Waits for the head of a response. If the response is overdue and another replica can
+    /// be tried, the wait ends early.
+    async fn await_response(
         &self,
         context: &RequestContext,
-        sending: impl Future<Output = AttemptOutcome>,
-        another: impl Fn() -> bool,
+        response: impl Future<Output = AttemptOutcome>,
+        has_alternative: impl Fn() -> bool,
     ) -> Result<AttemptOutcome, AttemptTimeout> {
         let deadline = context.outbound.deadline;
-        let mut sending = std::pin::pin!(sending);
+        let mut response = std::pin::pin!(response);
         if context.route.is_repeatable() && context.service.engine.is_none() {
             let now = Instant::now();
-            let left = deadline.saturating_duration_since(now);
+            let remaining = deadline.saturating_duration_since(now);
             let wait = self
                 .baseline_latencies
                 .response_timeout(&context.route.name);
-            let wait = wait.map_or(left, |wait| wait.min(left / 3));
-            if let Ok(outcome) = tokio::time::timeout_at(now + wait, &mut sending).await {
+            let wait = wait.map_or(remaining, |wait| wait.min(remaining / 3));
+            if let Ok(outcome) = tokio::time::timeout_at(now + wait, &mut response).await {
                 return Ok(outcome);
             }
-            if another() && self.withdraw_retry() {
-                return Err(AttemptTimeout::TryAnother);
+            if has_alternative() && self.withdraw_retry() {
+                return Err(AttemptTimeout::Overdue);
             }
         }
-        let outcome = tokio::time::timeout_at(deadline, sending).await;
-        outcome.map_err(|_| AttemptTimeout::Deadline)
+        let outcome = tokio::time::timeout_at(deadline, response).await;
+        outcome.map_err(|_| AttemptTimeout::DeadlineExceeded)
     }
 
-    /// Tells how long a replica of a plain service took, at least.
+    /// Records the elapsed time as a lower bound of the latency of a plain service's
+    /// replica.
     fn record_latency(&self, context: &RequestContext, replica: &Replica, sent: Instant) {
         if context.service.engine.is_none() {
             let slowdown = self
@@ -192,7 +196,11 @@
         }
     }
 
-    fn query<'a>(&'a self, context: &'a RequestContext, excluded: &'a [Text]) -> ReplicaQuery<'a> {
+    fn replica_query<'a>(
+        &'a self,
+        context: &'a RequestContext,
+        excluded: &'a [Text],
+    ) -> ReplicaQuery<'a> {
         ReplicaQuery {
             service: context.service.name.as_str(),
             zone: &self.zone,
@@ -206,13 +214,12 @@
         }
     }
 
-    /// Where a turn of a program is going to run, by what is known before its
-    /// reservation.
+    /// Predicts where a turn will run, from what is known before its reservation.
     pub(crate) fn predict_placement(&self, context: &RequestContext) -> Option<Placement> {
         context.parameters.budget?;
         context.service.engine.as_ref()?;
-        let replica = self.choose_engine(context, &self.query(context, &[]))?;
-        Some(placement_at(context, &replica))
+        let replica = self.choose_engine(context, &self.replica_query(context, &[]))?;
+        Some(build_placement(context, &replica))
     }
 
     fn choose_engine(
@@ -223,7 +230,7 @@
         let parameters = &context.parameters;
         let tokens = parameters.prompt.tokens();
         let affinity = match parameters.program.is_empty() {
-            true => placement::hash_text(&parameters.request),
+            true => placement::hash_text(&parameters.request_id),
             false => placement::hash_text(&parameters.program),
         };
         let rates = self.registry.rates(&context.service.name);
@@ -235,10 +242,11 @@
 
     fn choose(&self, context: &RequestContext, excluded: &[Text]) -> Option<ChosenReplica> {
         let prompt = &context.parameters.prompt;
-        let query = self.query(context, excluded);
+        let query = self.replica_query(context, excluded);
         let Some(engine) = &context.service.engine else {
-            let tie = rand::random();
-            let choose = |candidates: &[Candidate]| placement::choose_plain(candidates, tie);
+            let tie_breaker = rand::random();
+            let choose =
+                |candidates: &[Candidate]| placement::choose_plain(candidates, tie_breaker);
             let replica = self.registry.choose(&query, choose)?;
             return Some(ChosenReplica {
                 replica,
@@ -262,20 +270,17 @@
         })
     }
 
-    /// Checks an answer; a plain one is read whole. `may_retry` says whether a
-    /// failed answer is better tried elsewhere.
-    async fn complete(
+    /// Validates a response and reads the body of a plain one. `may_retry` says whether an
+    /// error response should be retried at another replica.
+    async fn validate_response(
         &self,
         context: &mut RequestContext,
-        mut answer: Box<ReplicaResponse>,
+        mut reply: Box<ReplicaResponse>,
         uncached_tokens: u32,
         may_retry: bool,
     ) -> Result<DispatchedResponse, &'static str> {
-        let status = answer.response.status();
-        let signed = answer
-            .response
-            .headers()
-            .contains_key(&self.names.signature);
+        let status = reply.response.status();
+        let signed = reply.response.headers().contains_key(&self.names.signature);
         if status.is_success() && !signed {
             return Err("unsigned_answer");
         }
@@ -283,32 +288,32 @@
             return Err("server_error");
         }
         if context.route.kind == RouteKind::Stream && status == StatusCode::OK {
-            return Ok(DispatchedResponse::Stream(answer, uncached_tokens));
+            return Ok(DispatchedResponse::Stream(reply, uncached_tokens));
         }
-        let reading = Limited::new(answer.response.body_mut(), MAX_ANSWER_BYTES).collect();
+        let reading = Limited::new(reply.response.body_mut(), MAX_RESPONSE_BYTES).collect();
         let content = match tokio::time::timeout_at(context.outbound.deadline, reading).await {
             Ok(Ok(collected)) => collected.to_bytes(),
             Ok(Err(_)) => return Err(TRUNCATED),
             Err(_) => return Err("time_out"),
         };
         context.memory_guard.force_acquire(content.len());
-        let answer = *answer;
-        let (head, _) = answer.response.into_parts();
-        answer.replica.pool.release(answer.connection);
-        Ok(DispatchedResponse::Whole(head, content))
+        let reply = *reply;
+        let (head, _) = reply.response.into_parts();
+        reply.replica.pool.release(reply.connection);
+        Ok(DispatchedResponse::Plain(head, content))
     }
 }
 
-/// An answer has not come in time.
+/// Reason why waiting for a response ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptTimeout {
-    /// Another replica is tried instead.
-    TryAnother,
-    /// The request's time is over.
-    Deadline,
+    /// The response is overdue, and another replica is tried instead.
+    Overdue,
+    /// The request's deadline has passed.
+    DeadlineExceeded,
 }
 
-/// Replicas that refused one request.
+/// Counts of the replicas that rejected one request.
 #[derive(Clone, Copy, Debug, Default)]
 struct Rejections {
     all: usize,
@@ -316,14 +321,14 @@
 }
 
 impl Rejections {
-    /// A replica refused; it is idle if under half of its places are taken.
+    /// Counts a rejection. A replica is idle if less than half of its slots are in use.
     fn count(&mut self, replica: &Replica) {
         self.all += 1;
         self.idle += usize::from(replica.requests_in_flight() * 2 < replica.record.slots);
     }
 
-    /// Why no replica took the request. What several idle ones refuse is at fault
-    /// itself; it is told apart from a want of room.
+    /// Returns why no replica accepted the request. Rejections by several idle replicas
+    /// point to the request itself, not to a lack of capacity.
     fn cause(self) -> &'static str {
         match self.all >= MIN_IDLE_REJECTIONS && self.idle == self.all {
             true => "refused_while_idle",
@@ -332,41 +337,41 @@
     }
 }
 
-/// A turn's placement at a replica, until its deadline.
-fn placement_at(context: &RequestContext, replica: &Replica) -> Placement {
-    let left = context
+/// Describes a turn's placement at a replica until the request's deadline.
+fn build_placement(context: &RequestContext, replica: &Replica) -> Placement {
+    let remaining = context
         .outbound
         .deadline
         .saturating_duration_since(Instant::now());
     Placement {
         replica: replica.short_hash(),
-        max_duration_milliseconds: u32::try_from(left.as_millis()).unwrap_or(u32::MAX),
+        max_duration_milliseconds: u32::try_from(remaining.as_millis()).unwrap_or(u32::MAX),
     }
 }
 
-/// An answer on its way to the caller.
+/// Response that is forwarded to the caller.
 pub(crate) enum DispatchedResponse {
-    /// Read whole.
-    Whole(hyper::http::response::Parts, Bytes),
-    /// A stream whose pieces are still to come, and the tokens of its prompt
-    /// that the replica was believed not to hold.
+    /// Complete plain response.
+    Plain(hyper::http::response::Parts, Bytes),
+    /// Stream whose body is still to be relayed, and the tokens of its prompt that the
+    /// replica was not expected to have cached.
     Stream(Box<ReplicaResponse>, u32),
 }
 
-/// A replica that was chosen.
+/// Chosen replica.
 struct ChosenReplica {
     replica: Rc<Replica>,
-    /// Tokens of the prompt that it was believed not to hold.
+    /// Tokens of the prompt that the replica was not expected to have cached.
     uncached_tokens: u32,
-    /// What decided the choice, for the request's line.
+    /// Inputs of the choice, for the request's log line.
     explanation: String,
 }
 
-/// What an answer shows of its replica: failures of its own count against it.
-fn evidence_of(served: &DispatchedResponse) -> Evidence {
-    match served {
-        DispatchedResponse::Whole(head, _) if head.status.is_server_error() => Evidence::Failed,
-        DispatchedResponse::Whole(..) | DispatchedResponse::Stream(..) => Evidence::Sound,
+/// Classifies a response as evidence of the replica's health.
+fn response_evidence(dispatched: &DispatchedResponse) -> Evidence {
+    match dispatched {
+        DispatchedResponse::Plain(head, _) if head.status.is_server_error() => Evidence::Failed,
+        DispatchedResponse::Plain(..) | DispatchedResponse::Stream(..) => Evidence::Sound,
     }
 }
 
--- a/crates/stageyoke-front/src/handler.rs
+++ b/crates/stageyoke-front/src/handler.rs
@@ -1,4 +1,4 @@
-//! The way of one request: route, history, budget, replica, answer.
+//! Handles one request from routing to response.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -34,20 +34,19 @@
 use crate::stream_relay::{CHUNK_BUFFER, StreamRelay, TurnStorage, UpstreamStream};
 use stageyoke_observe::{self as observe, RequestSummary as Summary};
 
-/// How long a doubtful route or chain is looked up.
+/// Timeout for confirming an unknown route or reading a transcript.
 pub(crate) const LOOKUP_TIMEOUT: Duration = Duration::from_millis(800);
-/// When to come back after a refusal for want of room.
+/// Retry delay sent with a rejection for lack of capacity.
 pub(crate) const SHORT_RETRY_DELAY: Duration = Duration::from_millis(250);
-/// When to come back after a refusal for want of something that is down: such
-/// faults last seconds.
+/// Retry delay sent while a dependency is unavailable; such outages last for seconds.
 pub(crate) const OUTAGE_RETRY_DELAY: Duration = Duration::from_millis(1000);
 
-/// A turn's reservation, where it needs one.
+/// Reservation of a turn; `None` if it needs none.
 type ReservationResult = Result<Option<Reservation>, Failure>;
-/// What was said before a turn, where it goes on from one.
+/// Transcript of earlier turns; `None` if the turn continues none.
 type TranscriptResult = Result<Option<Bytes>, Failure>;
 
-/// A request with everything that was found out about it.
+/// Request with the results of its routing.
 pub(crate) struct RequestContext {
     pub(crate) parameters: RequestParameters,
     pub(crate) identifiers: ScopedIdentifiers,
@@ -58,19 +57,19 @@
     pub(crate) outbound: OutboundRequest,
     pub(crate) input: Bytes,
     pub(crate) arrived: Instant,
-    /// What the request holds of the front's memory.
+    /// Memory used by the request.
     pub(crate) memory_guard: MemoryGuard,
 }
 
 impl<S: KeyValueService + 'static, I: Interpreter + 'static> Front<S, I> {
-    /// Answers one request.
+    /// Handles one request.
     pub async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         let arrived = Instant::now();
-        let _active = self.requests.track();
+        let _request_guard = self.requests.track();
         let mut pending = PendingRequest::new(arrived);
-        let served = self.serve(request, arrived, &mut pending.summary).await;
+        let outcome = self.serve(request, arrived, &mut pending.summary).await;
         let mut summary = pending.into_summary();
-        let mut response = match served {
+        let mut response = match outcome {
             Ok(response) => response,
             Err(failure) => {
                 summary.outcome = failure.cause;
@@ -78,18 +77,19 @@
                 let retry_after = failure.retry_after.unwrap_or_default();
                 summary.retry_after_ms = retry_after.as_millis() as u64;
                 observe::record_request(&summary, arrived.elapsed());
-                self.echo(failure::build_response(&failure), &summary)
+                self.echo_request_id(failure::build_response(&failure), &summary)
             }
         };
-        if !self.ready() {
-            // The entry sends new connections elsewhere; kept ones shall follow.
+        if !self.is_ready() {
+            // The load balancer sends new connections elsewhere; closing this one moves its
+            // caller too.
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(CONNECTION, close);
         }
         response
     }
 
-    fn echo(
+    fn echo_request_id(
         &self,
         mut response: Response<ResponseBody>,
         summary: &Summary,
@@ -113,20 +113,20 @@
         let parameters = RequestParameters::read(&head.headers, &self.names, arrived).ok_or(
             Failure::permanent(ErrorKind::BadRequest, "no_request_identifier"),
         )?;
-        summary.request = parameters.request.to_string();
+        summary.request = parameters.request_id.to_string();
         summary.program = parameters.program.to_string();
         let deadline = parameters.deadline.saturating_duration_since(arrived);
         summary.deadline_ms = deadline.as_millis() as u64;
-        let finish = parameters
+        let time_left = parameters
             .program_deadline
-            .map_or(Duration::ZERO, |finish| finish.remaining());
-        summary.finish_ms = finish.as_millis() as u64;
+            .map_or(Duration::ZERO, |deadline| deadline.remaining());
+        summary.finish_ms = time_left.as_millis() as u64;
         let freshness = self.mirror.freshness();
         freshness.ensure_fresh().await;
         let age = freshness.age().unwrap_or(Duration::MAX);
         summary.directory_age_ms = age.as_millis().min(u128::from(u32::MAX)) as u64;
-        let ages = &observe::metrics().directory_age_seconds;
-        ages.observe(age.as_secs_f64());
+        let age_histogram = &observe::metrics().directory_age_seconds;
+        age_histogram.observe(age.as_secs_f64());
         self.stale_list_monitor
             .check(age, freshness.is_service_unreachable());
         summary.members_version = self.history.stores.stores().version;
@@ -151,7 +151,7 @@
             }
         }
         summary.routes_version = routes.version;
-        let service = self.pick_service(&routes, &route)?;
+        let service = self.choose_service(&routes, &route)?;
         let mut memory_guard = self.memory_budget.start_request();
         let reading = read_body(body, routes.limits.body_bytes, &mut memory_guard);
         let input = tokio::time::timeout_at(parameters.deadline, reading)
@@ -169,7 +169,7 @@
             .ok_or(Failure::permanent(ErrorKind::Internal, "tenant_name"))?;
         let identifiers = ScopedIdentifiers::of(&parameters, caller.tenant.as_ref());
         let outbound = OutboundRequest {
-            request: parameters.request.clone(),
+            request_id: parameters.request_id.clone(),
             method: head.method,
             path,
             headers,
@@ -196,7 +196,7 @@
         let granted = RefCell::default();
         let outcome = self.run(context, summary, &granted).await;
         if let Err(failure) = &outcome
-            && failure.is_not_run()
+            && failure.has_not_run()
             && let Some(grant) = granted.take()
         {
             self.quotas.refund(&grant);
@@ -204,7 +204,7 @@
         outcome
     }
 
-    fn pick_service(&self, routes: &RouteTable, route: &Route) -> Result<ServiceSpec, Failure> {
+    fn choose_service(&self, routes: &RouteTable, route: &Route) -> Result<ServiceSpec, Failure> {
         let missing = Failure::retryable(
             ErrorKind::Unavailable,
             "no_such_service",
@@ -223,18 +223,18 @@
         summary.priority = context.caller.priority(&context.route);
         let ledger: RefCell<String> = RefCell::default();
         self.admit_program(&context, summary).await?;
-        // What the stores answer may show a better one.
+        // The ledger returned with the reservation may suggest a better one.
         let expected = self.predict_placement(&context);
         let (reservation, transcript) = self.prepare(&context, expected, &ledger, granted).await?;
         summary.ledger = ledger.into_inner();
         let mut reservation = match reservation {
-            Ok(granted) => granted,
+            Ok(reservation) => reservation,
             Err(failure) => return Err(failure),
         };
         if let Some(previous) = &context.parameters.previous {
             let found = match &transcript {
                 Ok(Some(text)) => format!("{} bytes", text.len()),
-                Ok(None) => "not kept".to_owned(),
+                Ok(None) => "not stored".to_owned(),
                 Err(failure) => failure.cause.to_owned(),
             };
             summary.history = format!("previous={previous} found={found}");
@@ -253,15 +253,15 @@
         }
         self.started_programs.record(&context.identifiers.program);
         summary.first_offer_ms = context.arrived.elapsed().as_millis() as u64;
-        let served = self
+        let dispatched = self
             .dispatch(&mut context, summary, &mut reservation, expected)
             .await?;
-        Ok(self.forward(context, served, summary, reservation))
+        Ok(self.forward(context, dispatched, summary, reservation))
     }
 
-    /// What a turn needs, and its tenant's leave. Both are asked for at once; leave
-    /// first where the tenant was refused a moment ago, so that what it sends beyond
-    /// its limit costs the stores no records.
+    /// Reserves the turn, reads its transcript and charges the tenant's quota, all
+    /// concurrently. For a tenant with a recent rejection the quota comes first, so that
+    /// requests beyond its limit cause no writes at the stores.
     async fn prepare(
         &self,
         context: &RequestContext,
@@ -272,19 +272,19 @@
         let preparation = async {
             tokio::join!(
                 self.reserve(context, expected, ledger),
-                self.transcript(context)
+                self.read_transcript(context)
             )
         };
         let Some(tenant) = &context.caller.tenant else {
             return Ok(preparation.await);
         };
-        let asked = QuotaRequest {
+        let quota_request = QuotaRequest {
             tenant,
             program: &context.identifiers.program,
             version: context.routes_version,
         };
         let quota = async {
-            granted.replace(self.quotas.acquire(asked).await?);
+            granted.replace(self.quotas.acquire(quota_request).await?);
             Ok(())
         };
         if self.quotas.is_recently_rejected(tenant) {
@@ -299,21 +299,21 @@
     fn forward(
         self: &Rc<Self>,
         context: RequestContext,
-        served: DispatchedResponse,
+        dispatched: DispatchedResponse,
         summary: &mut Summary,
         reservation: Option<Reservation>,
     ) -> Response<ResponseBody> {
-        let (answer, uncached_tokens) = match served {
-            DispatchedResponse::Whole(head, content) => {
+        let (reply, uncached_tokens) = match dispatched {
+            DispatchedResponse::Plain(head, content) => {
                 summary.status = head.status.as_u16();
                 summary.outcome = "answered";
                 observe::record_request(summary, context.arrived.elapsed());
                 let body = ResponseBody::full(content).with_memory(context.memory_guard);
-                return from_replica(&head, body);
+                return build_caller_response(&head, body);
             }
-            DispatchedResponse::Stream(answer, uncached_tokens) => (*answer, uncached_tokens),
+            DispatchedResponse::Stream(reply, uncached_tokens) => (*reply, uncached_tokens),
         };
-        let (head, body) = answer.response.into_parts();
+        let (head, body) = reply.response.into_parts();
         let mut summary = std::mem::take(summary);
         summary.status = head.status.as_u16();
         let engine = context.service.engine.as_ref();
@@ -330,10 +330,10 @@
             identifiers: context.identifiers,
             max_tokens: context.parameters.max_tokens,
             upstream: UpstreamStream {
-                connection: answer.connection,
-                replica: answer.replica,
-                guard: answer.guard,
-                sent: answer.sent,
+                connection: reply.connection,
+                replica: reply.replica,
+                guard: reply.guard,
+                sent: reply.sent,
                 uncached_tokens,
             },
             summary,
@@ -341,31 +341,34 @@
             _memory_guard: context.memory_guard,
         };
         let (chunks, receiver) = mpsc::channel(CHUNK_BUFFER);
-        let active = self.requests.track();
+        let request_guard = self.requests.track();
         tokio::task::spawn_local(async move {
             relay.run(body, chunks).await;
-            drop(active);
+            drop(request_guard);
         });
-        from_replica(&head, ResponseBody::Stream(receiver))
+        build_caller_response(&head, ResponseBody::Stream(receiver))
     }
 }
 
-fn from_replica(head: &hyper::http::response::Parts, body: ResponseBody) -> Response<ResponseBody> {
+fn build_caller_response(
+    head: &hyper::http::response::Parts,
+    body: ResponseBody,
+) -> Response<ResponseBody> {
     let mut response = Response::new(body);
     *response.status_mut() = head.status;
     *response.headers_mut() = end_to_end_headers(&head.headers);
     response
 }
 
-/// Reads a request's body. Memory is taken for its whole length at once where
-/// it is told, else as it comes.
+/// Reads a request's body. Memory for the whole body is acquired up front if its length is
+/// known, otherwise chunk by chunk.
 async fn read_body(
     body: Incoming,
     limit: usize,
     memory_guard: &mut MemoryGuard,
 ) -> Result<Bytes, Failure> {
-    let announced = body.size_hint().exact().map(|length| length as usize);
-    if let Some(length) = announced
+    let content_length = body.size_hint().exact().map(|length| length as usize);
+    if let Some(length) = content_length
         && length <= limit
         && !memory_guard.try_acquire(length)
     {
@@ -377,7 +380,7 @@
         let Ok(data) = frame.map_err(body_failure)?.into_data() else {
             continue;
         };
-        if announced.is_none() && !memory_guard.try_acquire(data.len()) {
+        if content_length.is_none() && !memory_guard.try_acquire(data.len()) {
             return Err(out_of_memory());
         }
         chunks.push(data);
@@ -396,7 +399,7 @@
     }
 }
 
-/// A request for which the front has no memory; it was not run.
+/// Rejection of a request that exceeds the memory budget and was not run.
 fn out_of_memory() -> Failure {
     Failure::retryable(ErrorKind::Overloaded, "no_memory", SHORT_RETRY_DELAY)
 }
--- a/crates/stageyoke-front/src/quota.rs
+++ b/crates/stageyoke-front/src/quota.rs
@@ -1,6 +1,6 @@
-//! A tenant's limit over all fronts, as one front keeps it: each request is asked
-//! for at the store that counts for its tenant. Where no store answers, the front
-//! goes by a share of its own, small enough for all fronts to do so at once.
+//! Enforces tenants' rate limits across all fronts. Each request is granted by the store
+//! that owns its tenant's quota. While no store answers, the front uses a local share of
+//! the limit that is small enough for all fronts to do so at once.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -21,28 +21,27 @@
 use crate::handler::SHORT_RETRY_DELAY;
 use crate::log_limiter::LogRateLimiter;
 
-/// Part of its limit that a tenant has through fronts which reach no owner, all of
-/// them together: what they grant comes on top of what owners grant to others.
+/// Fraction of a tenant's limit that all fronts without a reachable owner may grant
+/// together. These grants come on top of those that owners make to other fronts.
 const LOCAL_SHARE_FRACTION: f64 = 0.5;
-/// Fronts among which that part is divided while no store has told their number:
-/// as many as the middle ones of the known deployments have.
+/// Number of fronts assumed for dividing that fraction until a store reports the number.
 const DEFAULT_FRONT_COUNT: u16 = 64;
-/// After a refusal a tenant's requests are asked for before anything else is done
-/// for them, for this long: most will be refused as well.
+/// Time after a rejection during which the quota is checked before any other work for the
+/// tenant's requests, as most of them will be rejected too.
 const RECENT_REJECTION_PERIOD: Duration = Duration::from_millis(1000);
-/// Tenants that are remembered; the longest unused go.
+/// Tenants retained in memory; the least recently used half is evicted when it is full.
 const MAX_TENANTS: usize = 4096;
 
-/// What this front knows of a tenant.
+/// State of one tenant at this front.
 #[derive(Debug)]
 struct TenantState {
-    share: TokenBucket,
+    local_share: TokenBucket,
     version: u64,
     rejected_at: Option<Duration>,
-    used_at: Duration,
+    last_used: Duration,
 }
 
-/// Limits of tenants as one front keeps them.
+/// Rate limits of tenants, as enforced by one front.
 pub struct Quotas {
     stores: Rc<GroupClients>,
     started: Instant,
@@ -51,19 +50,19 @@
     log_limiter: LogRateLimiter,
 }
 
-/// One request, as its tenant's limit sees it.
+/// Request for a unit of a tenant's quota.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaRequest<'a> {
-    /// Who makes it.
+    /// Tenant whose quota is charged.
     pub tenant: &'a Tenant,
-    /// Its program, as stores know it; empty if none.
+    /// Program identifier as used by the stores; empty without a program.
     pub program: &'a Text,
-    /// Version of the configuration.
+    /// Version of the configuration that sets the limit.
     pub version: u64,
 }
 
 impl Quotas {
-    /// Asks these stores.
+    /// Creates quotas that are granted by these stores.
     pub fn new(stores: Rc<GroupClients>) -> Self {
         Self {
             stores,
@@ -74,16 +73,16 @@
         }
     }
 
-    /// Whether a request of this tenant was refused a moment ago.
+    /// Returns whether a request of this tenant was rejected within the last second.
     pub fn is_recently_rejected(&self, tenant: &Tenant) -> bool {
         let tenants = self.tenants.borrow();
-        let state = tenants.get(&key(tenant));
+        let state = tenants.get(&tenant_key(tenant));
         let rejected_at = state.and_then(|state| state.rejected_at);
         rejected_at.is_some_and(|at| at + RECENT_REJECTION_PERIOD > self.started.elapsed())
     }
 
-    /// Counts a request, or refuses it: it was not run then. Tells the grant, where an
-    /// owner has given one.
+    /// Charges a request to its tenant's quota, or rejects it before it runs. Returns the
+    /// grant if an owner issued one.
     pub async fn acquire(&self, request: QuotaRequest<'_>) -> Result<Option<QuotaGrant>, Failure> {
         let Some(limit) = request.tenant.rate_limit else {
             return Ok(None);
@@ -92,8 +91,8 @@
             per_second: limit.per_second,
             burst: limit.burst,
         };
-        let question = AcquireRequest {
-            tenant: key(request.tenant),
+        let acquire_request = AcquireRequest {
+            tenant: tenant_key(request.tenant),
             program: match request.program.is_empty() {
                 true => 0,
                 false => TurnKey::of(request.program).0,
@@ -102,39 +101,48 @@
             version: request.version,
             standby: false,
         };
-        let (verdict, grant) = self.query_owners(question).await;
+        let (decision, grant) = self.query_owners(acquire_request).await;
         let now = self.started.elapsed();
-        match verdict {
+        match decision {
             QuotaDecision::Granted => Ok(grant),
             QuotaDecision::Rejected(after) => {
-                self.with_tenant(&question, now, |state| state.rejected_at = Some(now));
+                self.with_tenant(&acquire_request, now, |state| state.rejected_at = Some(now));
                 Err(rejection("quota_spent", after))
             }
-            QuotaDecision::Unknown => self.take_share(&question, now).map(|()| None),
+            QuotaDecision::Unknown => self.take_local_share(&acquire_request, now).map(|()| None),
         }
     }
 
-    /// A request that was granted has not run: its tenant may make another one.
+    /// Refunds the grant of a request that did not run.
     pub fn refund(&self, grant: &QuotaGrant) {
         self.stores.refund(grant);
     }
 
-    async fn query_owners(&self, question: AcquireRequest) -> (QuotaDecision, Option<QuotaGrant>) {
+    async fn query_owners(
+        &self,
+        acquire_request: AcquireRequest,
+    ) -> (QuotaDecision, Option<QuotaGrant>) {
         if self.stores.all_failing_for().is_some() {
             return (QuotaDecision::Unknown, None);
         }
-        let Some(ruling) = self.stores.request_quota(question).await else {
+        let Some(decision) = self.stores.request_quota(acquire_request).await else {
             return (QuotaDecision::Unknown, None);
         };
-        if ruling.fronts > 0 {
-            self.fronts.set(ruling.fronts);
+        if decision.fronts > 0 {
+            self.fronts.set(decision.fronts);
         }
-        (ruling.verdict, ruling.grant)
+        (decision.verdict, decision.grant)
     }
 
-    fn take_share(&self, question: &AcquireRequest, now: Duration) -> Result<(), Failure> {
+    fn take_local_share(
+        &self,
+        acquire_request: &AcquireRequest,
+        now: Duration,
+    ) -> Result<(), Failure> {
         self.log_unknown();
-        let granted = self.with_tenant(question, now, |state| state.share.try_acquire(now));
+        let granted = self.with_tenant(acquire_request, now, |state| {
+            state.local_share.try_acquire(now)
+        });
         match granted {
             true => Ok(()),
             false => Err(rejection("quota_share_spent", SHORT_RETRY_DELAY)),
@@ -150,45 +158,45 @@
 
     fn with_tenant<T>(
         &self,
-        question: &AcquireRequest,
+        acquire_request: &AcquireRequest,
         now: Duration,
-        act: impl FnOnce(&mut TenantState) -> T,
+        update: impl FnOnce(&mut TenantState) -> T,
     ) -> T {
         let mut tenants = self.tenants.borrow_mut();
-        if tenants.len() >= MAX_TENANTS && !tenants.contains_key(&question.tenant) {
+        if tenants.len() >= MAX_TENANTS && !tenants.contains_key(&acquire_request.tenant) {
             evict_unused(&mut tenants);
         }
-        let part = LOCAL_SHARE_FRACTION / f64::from(self.fronts.get());
-        let limit = question.limit.scaled(part);
+        let fraction = LOCAL_SHARE_FRACTION / f64::from(self.fronts.get());
+        let limit = acquire_request.limit.scaled(fraction);
         let state = tenants
-            .entry(question.tenant)
+            .entry(acquire_request.tenant)
             .or_insert_with(|| TenantState {
-                share: TokenBucket::new(limit, limit.burst, now),
-                version: question.version,
+                local_share: TokenBucket::new(limit, limit.burst, now),
+                version: acquire_request.version,
                 rejected_at: None,
-                used_at: now,
+                last_used: now,
             });
-        if question.version > state.version || state.share.limit() != limit {
-            state.version = state.version.max(question.version);
-            state.share.set_limit(limit, now);
+        if acquire_request.version > state.version || state.local_share.limit() != limit {
+            state.version = state.version.max(acquire_request.version);
+            state.local_share.set_limit(limit, now);
         }
-        state.used_at = now;
-        act(state)
+        state.last_used = now;
+        update(state)
     }
 }
 
-/// Half of them go, so that the next look is far away.
+/// Evicts half of the tenants, so that evictions are rare.
 fn evict_unused(tenants: &mut HashMap<u64, TenantState>) {
-    let mut uses: Vec<Duration> = tenants.values().map(|state| state.used_at).collect();
+    let mut uses: Vec<Duration> = tenants.values().map(|state| state.last_used).collect();
     uses.sort_unstable();
-    let middle = uses.get(uses.len() / 2).copied().unwrap_or_default();
-    tenants.retain(|_, state| state.used_at > middle);
+    let median = uses.get(uses.len() / 2).copied().unwrap_or_default();
+    tenants.retain(|_, state| state.last_used > median);
 }
 
 fn rejection(cause: &'static str, after: Duration) -> Failure {
     Failure::retryable(ErrorKind::QuotaSpent, cause, after)
 }
 
-fn key(tenant: &Tenant) -> u64 {
+fn tenant_key(tenant: &Tenant) -> u64 {
     TurnKey::of(&tenant.name).0
 }
--- a/crates/stageyoke-front/src/routing.rs
+++ b/crates/stageyoke-front/src/routing.rs
@@ -1,4 +1,4 @@
-//! Lets requests in: their route, and who makes them, by the configuration in force
+//! Matches requests to routes and authenticates their callers, by the current configuration
 //! or a newer one.
 
 use std::rc::Rc;
@@ -11,28 +11,28 @@
 use crate::failure::Failure;
 use crate::front::Front;
 use crate::handler::{LOOKUP_TIMEOUT, OUTAGE_RETRY_DELAY};
-use crate::request::host;
+use crate::request::host_name;
 
-/// What a configuration says of a request that it allows.
+/// Route and caller of a request, with the route table that matched it.
 pub(crate) struct MatchedRoute {
     pub(crate) routes: Rc<RouteTable>,
     pub(crate) route: Route,
     pub(crate) caller: Caller,
 }
 
-/// Why a configuration doesn't allow a request.
+/// Reason why a route table does not allow a request.
 enum RoutingError {
     NoRoute,
     Unauthenticated(AuthenticationError),
 }
 
 fn match_route(routes: Rc<RouteTable>, head: &Parts) -> Result<MatchedRoute, RoutingError> {
-    let host = host(&head.headers).unwrap_or_default();
+    let host = host_name(&head.headers).unwrap_or_default();
     let route = routes
         .find(host, head.uri.path())
         .ok_or(RoutingError::NoRoute)?;
-    let caller =
-        Caller::of(&routes, route, &head.headers).map_err(RoutingError::Unauthenticated)?;
+    let caller = Caller::authenticate(&routes, route, &head.headers)
+        .map_err(RoutingError::Unauthenticated)?;
     let route = route.clone();
     Ok(MatchedRoute {
         routes,
@@ -42,11 +42,11 @@
 }
 
 impl<S: KeyValueService + 'static, I: Interpreter + 'static> Front<S, I> {
-    /// Finds the route of a request and who makes it. What the configuration in
-    /// force doesn't allow, a newer one may: that it doesn't is only known from a
-    /// read that began after the request arrived.
+    /// Finds the route of a request and authenticates its caller. If the cached
+    /// configuration does not allow the request, a newer one may, so it is rejected only
+    /// after a read that started when the request had already arrived.
     pub(crate) async fn route_request(&self, head: &Parts) -> Result<MatchedRoute, Failure> {
-        let unknown = Failure::retryable(
+        let no_configuration = Failure::retryable(
             ErrorKind::Unavailable,
             "no_configuration",
             OUTAGE_RETRY_DELAY,
@@ -60,8 +60,8 @@
         let changes = self.mirror.change_count();
         let confirmed = tokio::time::timeout(LOOKUP_TIMEOUT, self.mirror.confirm_routes()).await;
         if self.mirror.change_count() != changes {
-            // No event of the mirror tells of a configuration that is read here: metrics
-            // and the lines on tenants stayed behind until the next change.
+            // The mirror emits no event for a configuration read here, so metrics and
+            // tenant warnings must be updated explicitly.
             self.apply_directory();
         }
         if !matches!(confirmed, Ok(Ok(()))) {
@@ -72,11 +72,11 @@
                 OUTAGE_RETRY_DELAY,
             ));
         }
-        let routes = self.mirror.view().routes.clone().ok_or(unknown)?;
-        match_route(routes, head).map_err(|rejection| match rejection {
+        let routes = self.mirror.view().routes.clone().ok_or(no_configuration)?;
+        match_route(routes, head).map_err(|reason| match reason {
             RoutingError::NoRoute => Failure::permanent(ErrorKind::NotFound, "no_such_route"),
-            RoutingError::Unauthenticated(cause) => {
-                Failure::permanent(ErrorKind::Unauthorized, cause.name())
+            RoutingError::Unauthenticated(reason) => {
+                Failure::permanent(ErrorKind::Unauthorized, reason.cause())
             }
         })
     }
--- a/crates/stageyoke-front/src/stream_relay.rs
+++ b/crates/stageyoke-front/src/stream_relay.rs
@@ -1,5 +1,4 @@
-//! Passes a stream on, event by event, and ends it only once what must be kept
-//! of it is kept.
+//! Relays an event stream to the caller, and ends it only after the turn has been stored.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,94 +13,96 @@
 use crate::engine_rates::TurnTiming;
 use crate::event_stream::{EventSplitter, collect_data};
 use crate::health::Evidence;
-use crate::history::{History, Reservation, turn_record};
+use crate::history::{History, Reservation, build_turn_record};
 use crate::memory_budget::MemoryGuard;
 use crate::replica::{InFlightGuard, Replica};
 use crate::request::ScopedIdentifiers;
 use crate::response_body::{Chunk, TruncatedResponse};
 use stageyoke_observe::{self as observe, RequestSummary as Summary};
 
-/// Pieces that wait for a caller who reads slowly.
+/// Chunks buffered for a slow caller.
 pub const CHUNK_BUFFER: usize = 16;
 
-/// Outcome of a stream that the replica did not end.
+/// Outcome of a stream that the replica did not complete.
 const TRUNCATED: &str = "replica_broke_off";
 
-/// What is kept of a stream.
+/// What to store at the end of a stream.
 pub struct TurnStorage {
-    /// Where turns are kept.
+    /// History that stores the turn.
     pub history: Rc<History>,
-    /// The turn's own input, if its history is kept.
+    /// The turn's own input; `None` if its route keeps no history.
     pub input: Option<Bytes>,
-    /// How long it is kept.
+    /// Retention period of the stored turn.
     pub retention: Duration,
     /// The turn's reservation, if its program has a budget.
     pub reservation: Option<Reservation>,
-    /// Tokens in one event.
+    /// Tokens per event.
     pub tokens_per_event: u32,
 }
 
-/// What carries a stream: closed when dropped, which stops the replica.
+/// Upstream side of a stream. Dropping it closes the connection, which stops the replica.
 pub struct UpstreamStream {
     /// Connection to the replica.
     pub connection: Connection,
-    /// The replica.
+    /// Replica that sends the stream.
     pub replica: Rc<Replica>,
-    /// Counts the request as under way.
+    /// Counts the request as in flight.
     pub guard: InFlightGuard,
-    /// When the request was sent there.
+    /// Time at which the request was sent.
     pub sent: Instant,
-    /// Tokens of the prompt that the replica was believed not to hold.
+    /// Tokens of the prompt that the replica was not expected to have cached.
     pub uncached_tokens: u32,
 }
 
 impl UpstreamStream {
-    /// Times of a turn that ended now.
+    /// Returns the timing of a turn that has just ended.
     fn timing(&self, first_event: &FirstEvent, generated_tokens: u32) -> TurnTiming {
-        let beside = |in_flight: u32| f64::from(in_flight.saturating_sub(1));
+        let others_in_flight = |in_flight: u32| f64::from(in_flight.saturating_sub(1));
         let at_end = self.replica.requests_in_flight();
         TurnTiming {
             time_to_first_event: first_event.at - self.sent,
             uncached_tokens: self.uncached_tokens,
             generation_time: first_event.at.elapsed(),
             generated_tokens,
-            concurrent_requests: (beside(first_event.in_flight) + beside(at_end)) / 2.0,
+            concurrent_requests: (others_in_flight(first_event.in_flight)
+                + others_in_flight(at_end))
+                / 2.0,
             queued: first_event.in_flight > self.replica.record.slots,
         }
     }
 }
 
-/// The moment of a stream's first event.
+/// State at a stream's first event.
 struct FirstEvent {
     at: Instant,
-    /// Requests under way at the replica, this one among them.
+    /// Requests in flight at the replica, including this one.
     in_flight: u32,
 }
 
-/// A stream on its way to the caller.
+/// Relay of one stream to its caller.
 pub struct StreamRelay {
-    /// Identifiers under which the turn is kept.
+    /// Identifiers under which the turn is stored.
     pub identifiers: ScopedIdentifiers,
-    /// Most tokens of the turn.
+    /// Token limit of the turn; 0 if unlimited.
     pub max_tokens: u32,
-    /// The replica's answer; its body is relayed apart.
+    /// Connection and replica of the stream; its body is passed separately.
     pub upstream: UpstreamStream,
-    /// What is kept.
+    /// What to store at the end.
     pub storage: TurnStorage,
-    /// When the stream is cut.
+    /// Time at which the stream is aborted.
     pub deadline: Instant,
-    /// What is logged at the end.
+    /// Summary for the request's log line.
     pub summary: Summary,
-    /// When the request arrived.
+    /// Time at which the request arrived.
     pub arrived: Instant,
-    /// What the request holds of the front's memory, until the stream has ended.
+    /// Memory used by the request until the stream ends.
     pub _memory_guard: MemoryGuard,
 }
 
 enum StreamEnd {
-    Whole,
-    CallerLeft,
-    Cut(&'static str),
+    Complete,
+    CallerDisconnected,
+    Aborted(&'static str),
 }
 
 #[derive(Default)]
@@ -112,11 +113,12 @@
 }
 
 impl StreamRelay {
-    /// Relays until the end; `pieces` is the caller's side.
+    /// Relays the stream from `body` to the caller's channel `chunks` until either side
+    /// ends.
     pub async fn run(mut self, mut body: Incoming, chunks: mpsc::Sender<Chunk>) {
         let mut received = ReceivedEvents::default();
         let end = match self.forward(&mut body, &chunks, &mut received).await {
-            StreamEnd::Whole => {
+            StreamEnd::Complete => {
                 self.record_rates(&received);
                 self.store_turn(received).await
             }
@@ -125,7 +127,7 @@
         self.finish(&end, &chunks).await;
     }
 
-    /// Learns the engine's rates from a turn that ran to its end.
+    /// Updates the engine's learned rates with a completed turn.
     fn record_rates(&self, received: &ReceivedEvents) {
         let Some(first) = &received.first else {
             return;
@@ -146,21 +148,21 @@
         loop {
             let frame = tokio::select! {
                 frame = body.frame() => frame,
-                () = chunks.closed() => return StreamEnd::CallerLeft,
-                () = tokio::time::sleep_until(self.deadline) => return StreamEnd::Cut("time_out"),
+                () = chunks.closed() => return StreamEnd::CallerDisconnected,
+                () = tokio::time::sleep_until(self.deadline) => return StreamEnd::Aborted("time_out"),
             };
-            let whole = match frame {
+            let complete_events = match frame {
                 None => {
-                    let rest = splitter.take_remainder();
-                    if !rest.is_empty() && chunks.send(Ok(rest)).await.is_err() {
-                        return StreamEnd::CallerLeft;
+                    let remainder = splitter.take_remainder();
+                    if !remainder.is_empty() && chunks.send(Ok(remainder)).await.is_err() {
+                        return StreamEnd::CallerDisconnected;
                     }
-                    return StreamEnd::Whole;
+                    return StreamEnd::Complete;
                 }
-                Some(Err(_)) => return StreamEnd::Cut(TRUNCATED),
+                Some(Err(_)) => return StreamEnd::Aborted(TRUNCATED),
                 Some(Ok(frame)) => frame.data_ref().and_then(|data| splitter.push(data)),
             };
-            if let Some(events) = whole {
+            if let Some(events) = complete_events {
                 received.first.get_or_insert_with(|| FirstEvent {
                     at: Instant::now(),
                     in_flight: self.upstream.replica.requests_in_flight(),
@@ -169,57 +171,57 @@
                 let sending = tokio::time::timeout_at(self.deadline, chunks.send(Ok(events)));
                 match sending.await {
                     Ok(Ok(())) => {}
-                    Ok(Err(_)) => return StreamEnd::CallerLeft,
-                    Err(_) => return StreamEnd::Cut("time_out"),
+                    Ok(Err(_)) => return StreamEnd::CallerDisconnected,
+                    Err(_) => return StreamEnd::Aborted("time_out"),
                 }
             }
         }
     }
 
-    /// Keeps what must be kept before the caller sees the end.
+    /// Stores the turn or settles its reservation before the caller sees the end.
     async fn store_turn(&mut self, received: ReceivedEvents) -> StreamEnd {
         let generated = received
             .events
             .saturating_mul(self.storage.tokens_per_event);
         let used = match self.max_tokens {
             0 => generated,
-            most => generated.min(most),
+            limit => generated.min(limit),
         };
         let Some(input) = self.storage.input.take() else {
             if let Some(reservation) = &mut self.storage.reservation {
                 reservation.settle(used);
             }
-            return StreamEnd::Whole;
+            return StreamEnd::Complete;
         };
         let retention = self.storage.retention;
-        let record = turn_record(&self.identifiers, input, received.output, used, retention);
-        let began = Instant::now();
-        let identifiers = self.storage.history.commit(record, self.deadline).await;
-        self.summary.store_turn_ms = began.elapsed().as_millis() as u64;
+        let record = build_turn_record(&self.identifiers, input, received.output, used, retention);
+        let started = Instant::now();
+        let stored = self.storage.history.commit(record, self.deadline).await;
+        self.summary.store_turn_ms = started.elapsed().as_millis() as u64;
         if let Some(reservation) = &mut self.storage.reservation {
             reservation.mark_recorded();
         }
-        match identifiers {
-            Ok(()) => StreamEnd::Whole,
-            Err(_) => StreamEnd::Cut("not_kept"),
+        match stored {
+            Ok(()) => StreamEnd::Complete,
+            Err(_) => StreamEnd::Aborted("not_kept"),
         }
     }
 
     async fn finish(self, end: &StreamEnd, chunks: &mpsc::Sender<Chunk>) {
         let mut summary = self.summary;
         summary.outcome = match end {
-            StreamEnd::Whole => "streamed",
-            StreamEnd::CallerLeft => "caller_left",
-            StreamEnd::Cut(reason) => reason,
+            StreamEnd::Complete => "streamed",
+            StreamEnd::CallerDisconnected => "caller_left",
+            StreamEnd::Aborted(reason) => reason,
         };
-        if !matches!(end, StreamEnd::Whole) {
+        if !matches!(end, StreamEnd::Complete) {
             summary.status = 0;
         }
         observe::record_request(&summary, self.arrived.elapsed());
         match end {
-            StreamEnd::Whole => self.upstream.replica.pool.release(self.upstream.connection),
-            StreamEnd::CallerLeft => {}
-            StreamEnd::Cut(reason) => {
+            StreamEnd::Complete => self.upstream.replica.pool.release(self.upstream.connection),
+            StreamEnd::CallerDisconnected => {}
+            StreamEnd::Aborted(reason) => {
                 if *reason == TRUNCATED {
                     self.upstream.replica.record(Evidence::Lost);
                 }
--- a/crates/stageyoke-front/src/turn_preparation.rs
+++ b/crates/stageyoke-front/src/turn_preparation.rs
@@ -1,4 +1,4 @@
-//! What a turn needs before it is offered: its reservation and its transcript.
+//! Prepares a turn before it is dispatched: its reservation and its transcript.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -15,16 +15,16 @@
 use crate::handler::{LOOKUP_TIMEOUT, OUTAGE_RETRY_DELAY, RequestContext, SHORT_RETRY_DELAY};
 use crate::history::{Reservation, Transcript};
 
-/// How long a reservation may take: through a store's restart, and no more
-/// than this part of the time that the request has left.
+/// Timeout of a reservation, which covers a store's restart, and the fraction of the
+/// request's remaining time that it may take.
 const RESERVE_TIMEOUT: Duration = Duration::from_millis(1300);
 const RESERVE_TIME_FRACTION: f64 = 0.4;
-/// A group that has been failing this long is not waited for: probes tell when
-/// it serves again.
+/// Failure time of a store group after which requests fail immediately. Probes detect its
+/// recovery.
 const FAIL_FAST_DELAY: Duration = Duration::from_millis(800);
 impl<S: KeyValueService + 'static, I: Interpreter + 'static> Front<S, I> {
-    /// What was said before this turn, if it goes on from one that is kept.
-    pub(crate) async fn transcript(
+    /// Reads the transcript that this turn continues, if any.
+    pub(crate) async fn read_transcript(
         &self,
         context: &RequestContext,
     ) -> Result<Option<Bytes>, Failure> {
@@ -34,14 +34,14 @@
         if !context.route.stores_history {
             return Ok(None);
         }
-        let left = context
+        let remaining = context
             .outbound
             .deadline
             .saturating_duration_since(Instant::now());
-        let within = left.min(LOOKUP_TIMEOUT);
+        let time_limit = remaining.min(LOOKUP_TIMEOUT);
         match self
             .history
-            .transcript(&context.identifiers.program, previous, within)
+            .read_transcript(&context.identifiers.program, previous, time_limit)
             .await
         {
             Transcript::Found(text) => Ok(Some(text)),
@@ -54,26 +54,27 @@
         }
     }
 
-    /// How long the store group that this request needs has not served.
+    /// Returns for how long the store group needed by this request has failed.
     fn group_failure_time(&self, context: &RequestContext) -> Duration {
         let stores = &self.history.stores;
         let failing = stores.failing_for(&context.identifiers.program, &context.identifiers.turn);
         failing.unwrap_or_default()
     }
 
-    /// When to come back after that group did not serve: soon at first, as
-    /// another front may reach it; later once the fault has lasted.
+    /// Returns the retry delay after that group failed: short at first, since another front
+    /// may reach it, and longer once the outage lasts.
     fn group_retry_delay(&self, context: &RequestContext) -> Duration {
         self.group_failure_time(context)
             .clamp(SHORT_RETRY_DELAY, OUTAGE_RETRY_DELAY)
     }
 
-    /// Reserves the turn's most tokens; `note` takes what decided it.
+    /// Reserves the turn's maximum number of tokens, and writes the inputs of the decision
+    /// to `detail`.
     pub(crate) async fn reserve(
         &self,
         context: &RequestContext,
         placement: Option<Placement>,
-        note: &RefCell<String>,
+        detail: &RefCell<String>,
     ) -> Result<Option<Reservation>, Failure> {
         let parameters = &context.parameters;
         let Some(budget) = parameters.budget else {
@@ -86,7 +87,7 @@
             context.identifiers.program.clone(),
             context.identifiers.turn.clone(),
         );
-        let left = context
+        let remaining = context
             .outbound
             .deadline
             .saturating_duration_since(Instant::now());
@@ -96,31 +97,33 @@
             let after = self.group_retry_delay(context);
             return Err(Failure::retryable(ErrorKind::Unavailable, cause, after));
         }
-        let within = left.mul_f64(RESERVE_TIME_FRACTION).min(RESERVE_TIMEOUT);
+        let time_limit = remaining
+            .mul_f64(RESERVE_TIME_FRACTION)
+            .min(RESERVE_TIMEOUT);
         let reservation = Reservation::new(self.history.clone(), program.clone(), turn.clone());
-        let most = parameters.max_tokens;
+        let max_tokens = parameters.max_tokens;
         let reserve = || {
             let history = &self.history;
-            history.reserve(&program, &turn, most, placement, within)
+            history.reserve(&program, &turn, max_tokens, placement, time_limit)
         };
         let mut ledger = reserve().await;
         if matches!(ledger, Err(GroupError::StaleMembers)) {
             ledger = reserve().await;
         }
         let ledger = ledger.map_err(|error| {
-            *note.borrow_mut() = format!("budget={budget} most={most} error={error}");
+            *detail.borrow_mut() = format!("budget={budget} most={max_tokens} error={error}");
             Failure::retryable(
                 ErrorKind::Unavailable,
                 "budget_not_reserved",
                 self.group_retry_delay(context),
             )
         })?;
-        let others = ledger.total_excluding(&turn);
-        *note.borrow_mut() = format!(
-            "budget={budget} others={others} most={most} turns={}",
+        let other_tokens = ledger.total_excluding(&turn);
+        *detail.borrow_mut() = format!(
+            "budget={budget} others={other_tokens} most={max_tokens} turns={}",
             ledger.turns()
         );
-        if others + u64::from(most) > budget {
+        if other_tokens + u64::from(max_tokens) > budget {
             return Err(Failure::permanent(
                 ErrorKind::TokenBudgetSpent,
                 "budget_spent",
