--- a/crates/stageyoke-store/tests/group_test.rs
+++ b/crates/stageyoke-store/tests/group_test.rs
@@ -1,4 +1,4 @@
-//! A front's view of a group of real stores on loopback sockets and disks.
+//! Tests a front's requests to a group of real stores, with loopback sockets and disks.
 
 mod support;
 
@@ -25,8 +25,8 @@
 use tokio::time::Instant;
 
 const PROGRAM: &str = "program";
-const WITHIN: Duration = Duration::from_secs(5);
-const SHORT: Duration = Duration::from_millis(300);
+const TIMEOUT: Duration = Duration::from_secs(5);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(300);
 
 fn tolerance() -> Tolerance {
     Tolerance::of_machines(1)
@@ -77,9 +77,9 @@
     }
 }
 
-fn list(stores: &[Store]) -> Rc<StoreGroups> {
-    let members = stores.iter().fold(Members::default(), |list, store| {
-        list.with_member(Member {
+fn store_groups(stores: &[Store]) -> Rc<StoreGroups> {
+    let members = stores.iter().fold(Members::default(), |members, store| {
+        members.with_member(Member {
             node: store.local_store.node.clone(),
             address: Text::from(store.address.to_string()),
             zone: Text::from("zone"),
@@ -90,8 +90,8 @@
     Rc::new(StoreGroups::single(members))
 }
 
-/// The same group so many versions later.
-fn later(stores: &StoreGroups, versions: u64) -> Rc<StoreGroups> {
+/// Returns the same group with a later member list version.
+fn with_later_version(stores: &StoreGroups, versions: u64) -> Rc<StoreGroups> {
     let members = stores.group(GroupNumber(0)).expect("group");
     Rc::new(StoreGroups::single(Members {
         version: members.version + versions,
@@ -99,12 +99,12 @@
     }))
 }
 
-async fn group_of(count: usize) -> (Vec<Store>, Rc<GroupClients>) {
+async fn start_group(count: usize) -> (Vec<Store>, Rc<GroupClients>) {
     let mut stores = Vec::new();
     for number in 0..count {
         stores.push(Store::start(number, true).await);
     }
-    let members = list(&stores);
+    let members = store_groups(&stores);
     for store in &stores {
         store.local_store.set_stores(members.clone());
     }
@@ -113,7 +113,7 @@
     (stores, group)
 }
 
-fn reserve(turn: &str) -> Record {
+fn reserve_record(turn: &str) -> Record {
     Record::Reserve {
         program: Text::from("program"),
         turn: Text::from(turn),
@@ -121,11 +121,11 @@
     }
 }
 
-async fn local<T>(work: impl Future<Output = T>) -> T {
+async fn run_local<T>(work: impl Future<Output = T>) -> T {
     LocalSet::new().run_until(work).await
 }
 
-/// Groups of other sizes and tolerances: as many as may be lost, are.
+/// Groups of each size still serve after as many losses as they tolerate.
 #[rstest]
 #[case(1, 0)]
 #[case(2, 0)]
@@ -133,123 +133,127 @@
 #[case(5, 1)]
 #[case(5, 2)]
 #[tokio::test]
-async fn groups_of_any_size_outlive_what_they_tolerate(
+async fn groups_of_any_size_survive_the_tolerated_losses(
     #[case] count: usize,
     #[case] losses: usize,
 ) {
-    local(async {
-        let (stores, _) = group_of(count).await;
+    run_local(async {
+        let (stores, _) = start_group(count).await;
         for store in &stores[..losses] {
             store.stop();
         }
         let group = GroupClients::new(Text::from("zone"), Tolerance::of_machines(losses));
-        group.update_stores(&list(&stores));
-        group.append(turn("one", ""), WITHIN).await.expect("kept");
-        let next = group.append(turn("two", "one"), WITHIN).await;
+        group.update_stores(&store_groups(&stores));
+        group
+            .append(turn("one", ""), TIMEOUT)
+            .await
+            .expect("stored");
+        let next = group.append(turn("two", "one"), TIMEOUT).await;
         assert!(next.is_ok());
-        let ChainOutcome::Complete(parts) = group.chain(PROGRAM, &Text::from("two"), WITHIN).await
+        let ChainOutcome::Complete(parts) = group.chain(PROGRAM, &Text::from("two"), TIMEOUT).await
         else {
-            panic!("the chain is whole");
+            panic!("the chain is incomplete");
         };
         assert_eq!(parts.len(), 2);
-        let unknown = group.chain(PROGRAM, &Text::from("unknown"), WITHIN).await;
+        let unknown = group.chain(PROGRAM, &Text::from("unknown"), TIMEOUT).await;
         assert!(matches!(unknown, ChainOutcome::Absent(_)), "{unknown:?}");
     })
     .await;
 }
 
 #[tokio::test]
-async fn one_store_may_be_lost_but_not_two() {
-    local(async {
-        let (stores, group) = group_of(3).await;
+async fn a_group_of_three_survives_one_lost_store_but_not_two() {
+    run_local(async {
+        let (stores, group) = start_group(3).await;
         stores[0].stop();
         group
-            .append(turn("one", ""), WITHIN)
+            .append(turn("one", ""), TIMEOUT)
             .await
-            .expect("two of three keep it");
+            .expect("two of three store it");
         stores[1].stop();
         let group = GroupClients::new(Text::from("zone"), tolerance());
-        group.update_stores(&list(&stores));
+        group.update_stores(&store_groups(&stores));
         let record = turn("two", "one");
         let error = group
-            .append(record, SHORT)
+            .append(record, SHORT_TIMEOUT)
             .await
-            .expect_err("one is too few");
+            .expect_err("one store is too few");
         assert_eq!(error, GroupError::NoQuorum);
     })
     .await;
 }
 
 #[tokio::test]
-async fn absence_is_told_only_when_no_kept_copy_can_hide() {
-    local(async {
-        let (stores, group) = group_of(3).await;
+async fn a_turn_is_reported_absent_only_if_a_quorum_lacks_it() {
+    run_local(async {
+        let (stores, group) = start_group(3).await;
         let unknown = Text::from("unknown");
-        let outcome = group.chain(PROGRAM, &unknown, WITHIN).await;
+        let outcome = group.chain(PROGRAM, &unknown, TIMEOUT).await;
         assert!(matches!(outcome, ChainOutcome::Absent(turn) if turn == unknown));
         stores[0].stop();
         stores[1].stop();
-        // Only the listeners end here: a new group has no open connections.
+        // Only the listeners have stopped; new clients have no open connections.
         let group = GroupClients::new(Text::from("zone"), tolerance());
-        group.update_stores(&list(&stores));
-        let outcome = group.chain(PROGRAM, &unknown, SHORT).await;
+        group.update_stores(&store_groups(&stores));
+        let outcome = group.chain(PROGRAM, &unknown, SHORT_TIMEOUT).await;
         assert!(matches!(outcome, ChainOutcome::Unknown), "{outcome:?}");
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_store_with_a_lost_disk_never_vouches_for_absence() {
-    local(async {
-        let (mut stores, _) = group_of(2).await;
+async fn a_store_with_a_lost_disk_never_reports_a_turn_absent() {
+    run_local(async {
+        let (mut stores, _) = start_group(2).await;
         stores.push(Store::start(2, false).await);
-        let members = list(&stores);
+        let members = store_groups(&stores);
         for store in &stores {
             store.local_store.set_stores(members.clone());
         }
         let group = GroupClients::new(Text::from("zone"), tolerance());
         group.update_stores(&members);
         stores[0].stop();
-        let outcome = group.chain(PROGRAM, &Text::from("unknown"), SHORT).await;
+        let outcome = group
+            .chain(PROGRAM, &Text::from("unknown"), SHORT_TIMEOUT)
+            .await;
         assert!(matches!(outcome, ChainOutcome::Unknown), "{outcome:?}");
     })
     .await;
 }
 
 #[tokio::test]
-async fn of_racing_reservations_at_least_one_sees_the_other() {
-    local(async {
-        let (_stores, group) = group_of(4).await;
+async fn of_concurrent_reservations_at_least_one_sees_the_other() {
+    run_local(async {
+        let (_stores, group) = start_group(4).await;
         for round in 0..30 {
             let one = format!("one-{round}");
             let other = format!("other-{round}");
             let (first, second) = tokio::join!(
-                group.append(reserve(&one), WITHIN),
-                group.append(reserve(&other), WITHIN)
+                group.append(reserve_record(&one), TIMEOUT),
+                group.append(reserve_record(&other), TIMEOUT)
             );
-            let first = first.expect("kept").total_excluding(&one);
-            let second = second.expect("kept").total_excluding(&other);
-            let before = 200 * round;
+            let first = first.expect("stored").total_excluding(&one);
+            let second = second.expect("stored").total_excluding(&other);
+            let expected = 200 * round;
             assert!(
-                first.max(second) >= before + 100,
-                "{first} {second} {before}"
+                first.max(second) >= expected + 100,
+                "{first} {second} {expected}"
             );
-            assert!(first.min(second) >= before);
+            assert!(first.min(second) >= expected);
         }
     })
     .await;
 }
 
-/// Also in a group of two, where a write quorum is both: the one that is left holds
-/// everything. After a retirement left two of three, a day's second lost disk made the
-/// group refuse every turn for the rest of it.
+/// Guards against a lost disk in a group of two that is never filled, after which the group
+/// refuses every turn: the other member holds everything.
 #[rstest]
 #[case(3)]
 #[case(2)]
 #[tokio::test]
-async fn a_lost_disk_is_filled_again_and_then_vouches(#[case] count: usize) {
-    let test = local(async {
-        let (mut stores, group) = group_of(count).await;
+async fn a_lost_disk_is_filled_and_then_complete(#[case] count: usize) {
+    let test = run_local(async {
+        let (mut stores, group) = start_group(count).await;
         let last = count - 1;
         for number in 0..40 {
             let previous = match number {
@@ -257,13 +261,15 @@
                 number => format!("turn-{}", number - 1),
             };
             let record = turn(&format!("turn-{number}"), &previous);
-            group.append(record, WITHIN).await.expect("kept");
+            group.append(record, TIMEOUT).await.expect("stored");
         }
         stores[last].stop();
         stores[last] = Store::start(last, false).await;
-        let members = list(&stores);
+        let members = store_groups(&stores);
         for store in &stores {
-            store.local_store.set_stores(later(&members, 3));
+            store
+                .local_store
+                .set_stores(with_later_version(&members, 3));
         }
         assert!(!stores[last].local_store.is_complete());
         let peers = Rc::new(Peers::new(stores[last].local_store.clone(), tolerance()));
@@ -276,57 +282,65 @@
             assert!(stores[last].local_store.holds(digest));
         }
     });
-    let in_time = tokio::time::timeout(WITHIN, test).await;
-    in_time.expect("it is filled again");
+    let result = tokio::time::timeout(TIMEOUT, test).await;
+    result.expect("the disk is filled in time");
 }
 
 #[tokio::test]
-async fn what_was_acknowledged_is_there_after_a_restart() {
-    local(async {
-        let (mut stores, group) = group_of(2).await;
-        group.append(turn("one", ""), WITHIN).await.expect("kept");
-        group.append(reserve("two"), WITHIN).await.expect("kept");
+async fn acknowledged_records_survive_a_restart() {
+    run_local(async {
+        let (mut stores, group) = start_group(2).await;
+        group
+            .append(turn("one", ""), TIMEOUT)
+            .await
+            .expect("stored");
+        group
+            .append(reserve_record("two"), TIMEOUT)
+            .await
+            .expect("stored");
         for number in 0..2 {
             let store = stores.remove(0);
             store.stop();
-            let again = Store::start_in(number, false, store.folder).await;
-            assert!(again.local_store.is_complete());
-            assert!(again.local_store.holds(turn("one", "").digest()));
-            assert!(again.local_store.holds(reserve("two").digest()));
-            stores.push(again);
+            let restarted = Store::start_in(number, false, store.folder).await;
+            assert!(restarted.local_store.is_complete());
+            assert!(restarted.local_store.holds(turn("one", "").digest()));
+            assert!(restarted.local_store.holds(reserve_record("two").digest()));
+            stores.push(restarted);
         }
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_front_with_an_old_list_is_refused() {
-    local(async {
-        let (stores, group) = group_of(3).await;
-        let newer = later(&group.stores(), 2);
+async fn a_front_with_an_old_member_list_is_refused() {
+    run_local(async {
+        let (stores, group) = start_group(3).await;
+        let newer = with_later_version(&group.stores(), 2);
         for store in &stores {
             store.local_store.set_stores(newer.clone());
         }
         let error = group
-            .append(turn("one", ""), SHORT)
+            .append(turn("one", ""), SHORT_TIMEOUT)
             .await
-            .expect_err("stale");
+            .expect_err("stale members");
         assert_eq!(error, GroupError::StaleMembers);
         group.update_stores(&newer);
-        group.append(turn("one", ""), WITHIN).await.expect("kept");
+        group
+            .append(turn("one", ""), TIMEOUT)
+            .await
+            .expect("stored");
     })
     .await;
 }
 
-/// A front that the key-value service turns away learns of newer lists from the
-/// stores that refuse it: here two changes came while it heard nothing, and one
-/// of the three stores that it knows has left.
+/// Guards against a front that stays on an old member list while the key-value service
+/// rejects it: stores that refuse its requests return the newer list.
 #[tokio::test]
-async fn a_front_cut_off_from_the_service_learns_the_list_from_stores() {
-    local(async {
-        let (mut stores, group) = group_of(3).await;
+async fn a_front_cut_off_from_the_service_gets_member_lists_from_stores() {
+    run_local(async {
+        let (mut stores, group) = start_group(3).await;
         stores.push(Store::start(3, true).await);
-        let grown = list(&stores);
+        let grown = store_groups(&stores);
         let left = stores.remove(0);
         let members = grown.group(GroupNumber(0)).expect("group");
         let rest = members.list_without(&left.local_store.node);
@@ -337,40 +351,46 @@
             store.local_store.set_stores(newest.clone());
         }
         left.stop();
-        let refused = group.append(reserve("one"), SHORT).await.map(drop);
+        let refused = group
+            .append(reserve_record("one"), SHORT_TIMEOUT)
+            .await
+            .map(drop);
         assert_eq!(refused, Err(GroupError::StaleMembers));
         assert_eq!(group.stores().version, newest.version);
-        group.append(reserve("one"), WITHIN).await.expect("kept");
-        group.append_in_background(turn("two", ""), WITHIN);
-        // What the service hands on later may be older than that.
+        group
+            .append(reserve_record("one"), TIMEOUT)
+            .await
+            .expect("stored");
+        group.append_in_background(turn("two", ""), TIMEOUT);
+        // A later update from the service may be older.
         group.update_stores(&grown);
         assert_eq!(group.stores().version, newest.version);
     })
     .await;
 }
 
-/// A front repeats what a slow disk has not answered: one copy is written.
+/// Guards against duplicate writes when a front retries while the disk is slow.
 #[tokio::test]
-async fn what_is_on_its_way_to_the_disk_is_not_written_twice() {
-    local(async {
+async fn a_record_in_flight_to_the_disk_is_not_written_twice() {
+    run_local(async {
         let store = Store::start(0, true).await;
         let before = store.local_store.journal_end().next;
-        let keep = || store.local_store.store_record(turn("one", ""));
-        let kept = tokio::join!(keep(), keep(), keep(), keep());
-        assert_eq!(kept, (true, true, true, true));
+        let store_turn = || store.local_store.store_record(turn("one", ""));
+        let results = tokio::join!(store_turn(), store_turn(), store_turn(), store_turn());
+        assert_eq!(results, (true, true, true, true));
         assert_eq!(store.local_store.journal_end().next, before + 1);
         assert_eq!(store.local_store.in_flight_records(), 0);
     })
     .await;
 }
 
-/// A peer that tells of a record and delivers nothing.
+/// A peer that reports a record's digest but never delivers the record.
 async fn withholding_peer(listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         tokio::task::spawn_local(async move {
             let (mut reader, mut writer) = stream.into_split();
-            while let Ok(asked) = frame::read::<Numbered<Request>>(&mut reader).await {
-                let content = match asked.content {
+            while let Ok(request) = frame::read::<Numbered<Request>>(&mut reader).await {
+                let content = match request.content {
                     Request::Digests { .. } => Reply::Digests {
                         next: JournalPosition {
                             journal: 9,
@@ -389,7 +409,7 @@
                         expired: List::default(),
                     },
                 };
-                let number = asked.number;
+                let number = request.number;
                 let bytes = frame::encode(&Numbered { number, content });
                 if writer.write_all(&bytes).await.is_err() {
                     return;
@@ -399,11 +419,11 @@
     }
 }
 
-/// A store vouches for what it has been given, not for what it has been told of:
-/// a peer whose disk fails a read leaves records out of its answers.
+/// Guards against a store that counts records as held after only their digests arrived; a
+/// peer with a failing disk leaves records out of its replies.
 #[tokio::test]
-async fn a_store_does_not_vouch_for_records_that_were_not_delivered() {
-    local(async {
+async fn undelivered_records_keep_a_store_incomplete() {
+    run_local(async {
         let wiped = Store::start(0, false).await;
         let mut members = Members::default();
         for number in 0..3 {
@@ -430,34 +450,34 @@
     .await;
 }
 
-/// A spare takes the place of a silent member sooner if the members that answer have
-/// missed it: it believes the one that has missed it for the shortest time.
+/// A spare learns from responsive members how long another member has been silent, and takes
+/// the shortest time reported.
 #[tokio::test]
-async fn members_tell_who_does_not_answer_them() {
-    local(async {
-        let (stores, _) = group_of(3).await;
+async fn members_report_silent_members_to_a_spare() {
+    run_local(async {
+        let (stores, _) = start_group(3).await;
         let spare = Store::start(3, false).await;
-        let silent_for = |local_store: &LocalStore, milliseconds: u64| {
+        let report_silence = |local_store: &LocalStore, milliseconds: u64| {
             let since = Instant::now() - Duration::from_millis(milliseconds);
             let node = stores[2].local_store.node.clone();
             local_store.set_silent_peers(vec![SilentSince { node, since }]);
         };
-        silent_for(&stores[0].local_store, 9_000);
-        silent_for(&stores[1].local_store, 4_000);
+        report_silence(&stores[0].local_store, 9_000);
+        report_silence(&stores[1].local_store, 4_000);
         stores[2].stop();
-        spare.local_store.set_stores(list(&stores));
+        spare.local_store.set_stores(store_groups(&stores));
         spare.local_store.backfill_for(Some(GroupNumber(0)));
         let peers = Rc::new(Peers::new(spare.local_store.clone(), tolerance()));
         assert_eq!(peers.reported_silent_for("store-2"), None);
         peers.update_members(&spare.local_store.members());
-        let told = |least: u64| {
-            let told = peers.reported_silent_for("store-2");
-            told.is_some_and(|told| told >= Duration::from_millis(least))
+        let is_silent_for = |least: u64| {
+            let reported = peers.reported_silent_for("store-2");
+            reported.is_some_and(|reported| reported >= Duration::from_millis(least))
         };
         while !(peers.is_caught_up_with("store-0", 0) && peers.is_caught_up_with("store-1", 0)) {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        assert!(told(4_000) && !told(9_000));
+        assert!(is_silent_for(4_000) && !is_silent_for(9_000));
         stores[1].local_store.set_silent_peers(Vec::new());
         while peers.reported_silent_for("store-2") != Some(Duration::ZERO) {
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -466,35 +486,42 @@
     .await;
 }
 
-/// Whether a program has begun is told without a record, and with it what other fronts
-/// have under way.
+/// A front can query whether a program has started without storing a record; the reply also
+/// carries the requests in flight at other fronts.
 #[tokio::test]
-async fn a_front_hears_whether_a_program_has_begun() {
-    local(async {
-        let (stores, group) = group_of(3).await;
+async fn a_front_can_query_whether_a_program_has_started() {
+    run_local(async {
+        let (stores, group) = start_group(3).await;
         let other = GroupClients::new(Text::from("zone"), tolerance());
-        other.update_stores(&list(&stores));
+        other.update_stores(&store_groups(&stores));
         let ranked = ServiceRank {
             service: 5,
             rank: 2,
         };
         other.load().ranks.enable_reports();
         other.load().ranks.start_turn(ranked);
-        other.append(reserve("one"), WITHIN).await.expect("kept");
-        let asked = Text::from(PROGRAM);
+        other
+            .append(reserve_record("one"), TIMEOUT)
+            .await
+            .expect("stored");
+        let program = Text::from(PROGRAM);
         let unknown = Text::from("unknown");
-        // The greeting is heard with the first answer, and reports go behind later
-        // requests; what was told counts for half a second, which a busy machine may take.
+        // Load reports follow the first reply and later requests. They expire after half a
+        // second, which a busy machine may exceed, so the loop retries.
         group
-            .append(turn("of-another", ""), WITHIN)
+            .append(turn("of-another", ""), TIMEOUT)
             .await
-            .expect("kept");
-        let until = Instant::now() + WITHIN;
-        while group.load().ranks.in_flight_at_or_above(ranked) != Some(1) && Instant::now() < until
+            .expect("stored");
+        let deadline = Instant::now() + TIMEOUT;
+        while group.load().ranks.in_flight_at_or_above(ranked) != Some(1)
+            && Instant::now() < deadline
         {
-            other.append(reserve("two"), WITHIN).await.expect("kept");
-            assert_eq!(group.has_started(&asked, WITHIN).await, Some(true));
-            assert_eq!(group.has_started(&unknown, WITHIN).await, Some(false));
+            other
+                .append(reserve_record("two"), TIMEOUT)
+                .await
+                .expect("stored");
+            assert_eq!(group.has_started(&program, TIMEOUT).await, Some(true));
+            assert_eq!(group.has_started(&unknown, TIMEOUT).await, Some(false));
         }
         assert_eq!(group.load().ranks.in_flight_at_or_above(ranked), Some(1));
         let more_urgent = ServiceRank { rank: 1, ..ranked };
@@ -506,13 +533,12 @@
     .await;
 }
 
-/// Nothing is known where no store answers.
 #[tokio::test]
-async fn without_stores_nothing_is_known_of_a_program() {
-    local(async {
+async fn without_stores_it_is_unknown_whether_a_program_has_started() {
+    run_local(async {
         let group = GroupClients::new(Text::from("zone"), tolerance());
-        let asked = Text::from(PROGRAM);
-        assert_eq!(group.has_started(&asked, SHORT).await, None);
+        let program = Text::from(PROGRAM);
+        assert_eq!(group.has_started(&program, SHORT_TIMEOUT).await, None);
     })
     .await;
 }
--- a/crates/stageyoke-store/tests/joint_lists_test.rs
+++ b/crates/stageyoke-store/tests/joint_configuration_test.rs
@@ -1,6 +1,5 @@
-//! Schedules in which a list that changes, a slow disk, a lost disk or what is past its
-//! time made stores and fronts believe what was not so. Each was played against the code
-//! before its guard stood, and broke what it asks for.
+//! Interleavings of membership changes, slow or lost disks and expiry that could make stores
+//! and fronts lose a stored record or report it absent.
 
 mod support;
 
@@ -56,11 +55,10 @@
     }
 }
 
-/// A record that waits for the disk while the store takes a newer list: a peer was told
-/// that the store goes by the newer list and what it holds, which is without the record;
-/// after that no front with the older list may count it as kept there.
+/// Guards against a record that is acknowledged under an old member list after the store
+/// reported to a peer, without that record, that it uses a newer list.
 #[tokio::test]
-async fn nothing_is_kept_by_an_older_list_after_a_peer_was_told_of_the_newer() {
+async fn no_append_under_an_old_list_is_acknowledged_after_a_peer_saw_the_newer_list() {
     LocalSet::new()
         .run_until(async {
             let folder = tempfile::tempdir().expect("folder");
@@ -76,12 +74,18 @@
             });
             let old = members.version;
             local_store.set_stores(Rc::new(StoreGroups::single(members.clone())));
-            let appending = local_store.clone();
-            let appended = tokio::task::spawn_local(async move {
-                appending.handle_request(append(old, turn("one", ""))).await
+            let appending_store = local_store.clone();
+            let append_task = tokio::task::spawn_local(async move {
+                appending_store
+                    .handle_request(append(old, turn("one", "")))
+                    .await
             });
             tokio::task::yield_now().await;
-            assert_eq!(local_store.in_flight_records(), 1, "it waits for the disk");
+            assert_eq!(
+                local_store.in_flight_records(),
+                1,
+                "the record is waiting for the disk"
+            );
             let mut list = members.list.clone();
             list[2] = member(3, "10.0.0.3:7000", "zone");
             let newer = members.start_change(list);
@@ -89,29 +93,29 @@
             while !local_store.has_saved_stores() {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
-            let told = local_store.handle_request(digests(newer.version)).await;
+            let reply = local_store.handle_request(digests(newer.version)).await;
             let Reply::Digests {
                 complete,
                 members_version,
                 digests,
                 ..
-            } = told
+            } = reply
             else {
-                panic!("digests");
+                panic!("the reply has no digests");
             };
             assert_eq!(
                 (complete, members_version, digests.len()),
                 (true, newer.version, 0),
-                "a peer is in step with it now, without the record"
+                "a peer now counts as in sync without the record"
             );
             let collector = local_store.clone();
             tokio::task::spawn_local(
                 async move { collector.process_journal_results(results).await },
             );
-            let reply = appended.await.expect("answered");
+            let reply = append_task.await.expect("answered");
             assert!(
                 !matches!(reply, Reply::Stored { .. }),
-                "kept by version {old} after version {} was told of: {reply:?}",
+                "stored under version {old} after version {} was reported: {reply:?}",
                 newer.version
             );
         })
@@ -144,11 +148,10 @@
     (store, listener)
 }
 
-/// A front asks the first member by its old list, learns a newer one (by its watch, or by
-/// another request's refusal) while it waits, and asks the others by that. Their answers
-/// don't make a quorum of the old list.
+/// Guards against a lookup that combines replies under an old and a newer member list, which
+/// the front receives between its requests to the members, into one quorum.
 #[tokio::test]
-async fn answers_by_two_lists_make_no_quorum() {
+async fn replies_under_two_member_lists_make_no_quorum() {
     LocalSet::new()
         .run_until(async {
             let mut stores = Vec::new();
@@ -159,7 +162,7 @@
                 listeners.push(listener);
             }
             let entry = |number: usize| {
-                // The first is in the front's zone, and is asked first.
+                // The front queries the member in its own zone first.
                 let zone = if number == 0 { "near" } else { "far" };
                 member(number, &stores[number].address.to_string(), zone)
             };
@@ -168,7 +171,7 @@
                 list: List(vec![entry(0), entry(1), entry(2)]),
                 before: List::default(),
             };
-            // Store 3 has taken the place of store 0, which hears of nothing.
+            // Store 3 has replaced store 0, which doesn't receive the new list.
             let change = before.start_change(List(vec![entry(3), entry(1), entry(2)]));
             let after = change.settle_change();
             let old = Rc::new(StoreGroups::single(before));
@@ -177,7 +180,7 @@
             for store in &stores[1..] {
                 store.local_store.set_stores(new.clone());
             }
-            // Kept by the newest list: a quorum is two of three.
+            // A write quorum of the newest list stores the turn.
             for store in &stores[2..] {
                 let reply = store
                     .local_store
@@ -187,45 +190,48 @@
             }
             let mut listeners = listeners.into_iter();
             let first = listeners.next().expect("first");
-            let held_up = listeners.collect::<Vec<_>>();
+            let delayed = listeners.collect::<Vec<_>>();
             let front = Rc::new(GroupClients::new(
                 Text::from("near"),
                 Tolerance::of_machines(1),
             ));
             front.update_stores(&old);
-            let asking = front.clone();
-            let asked = tokio::task::spawn_local(async move {
+            let asking_front = front.clone();
+            let lookup = tokio::task::spawn_local(async move {
                 let turn = Text::from("one");
-                asking.chain("program", &turn, Duration::from_secs(3)).await
+                asking_front
+                    .chain("program", &turn, Duration::from_secs(3))
+                    .await
             });
-            // The question waits in the first member's queue of connections.
+            // The request waits in the first member's accept queue.
             tokio::time::sleep(Duration::from_millis(10)).await;
             front.update_stores(&new);
             tokio::task::spawn_local(server::serve(stores[0].local_store.clone(), first));
-            // Of the others that which misses the turn answers first.
-            for (store, listener) in stores[1..].iter().zip(held_up) {
+            // Of the other members, the one without the turn answers first.
+            for (store, listener) in stores[1..].iter().zip(delayed) {
                 let local_store = store.local_store.clone();
-                let later = match local_store.holds(turn("one", "").digest()) {
+                let delay = match local_store.holds(turn("one", "").digest()) {
                     true => Duration::from_millis(400),
                     false => Duration::ZERO,
                 };
                 tokio::task::spawn_local(async move {
-                    tokio::time::sleep(later).await;
+                    tokio::time::sleep(delay).await;
                     server::serve(local_store, listener).await
                 });
             }
-            let outcome = asked.await.expect("answered");
+            let outcome = lookup.await.expect("answered");
             assert!(
                 !matches!(outcome, ChainOutcome::Absent(_)),
-                "a kept turn was told as absent"
+                "a stored turn was reported absent"
             );
         })
         .await;
 }
 
-/// A successor in another zone must leave a list that can keep something.
+/// Guards against a successor in another zone that leaves a member list without a write
+/// quorum.
 #[test]
-fn a_successor_never_makes_a_list_without_a_quorum() {
+fn a_successor_never_creates_a_member_list_without_a_quorum() {
     let tolerance = Tolerance {
         machines: 1,
         zones: 1,
@@ -243,7 +249,7 @@
         before: List::default(),
     };
     assert!(!has_never_stored(&members, &tolerance));
-    let oneself = LocalMember {
+    let local_member = LocalMember {
         entry: member(3, "10.0.0.3:7000", "one"),
         complete: true,
         caught_up: true,
@@ -262,10 +268,10 @@
             caught_up: true,
         })
         .collect();
-    if let MembershipStep::Change(changed) = decide(&members, &oneself, &peers, &tolerance) {
+    if let MembershipStep::Change(changed) = decide(&members, &local_member, &peers, &tolerance) {
         assert!(
             !has_never_stored(&changed, &tolerance),
-            "every disk counts as complete by {changed:?}, also a lost one"
+            "every disk counts as complete under {changed:?}, even a lost one"
         );
     }
 }
@@ -285,16 +291,15 @@
 }
 
 async fn caught_up(with: &LocalStore, holder: &LocalStore, version: u64) -> JournalSync {
-    let mut exchange = JournalSync::default();
-    page_of(with, &mut exchange, holder, version).await;
-    exchange
+    let mut sync = JournalSync::default();
+    sync_page(with, &mut sync, holder, version).await;
+    sync
 }
 
-/// A front has the answer of a member; the member loses its disk, comes back and fills up
-/// from both others; then the record reaches a second member. The answer of the disk that
-/// is gone still counts for the front, and the new disk vouches for what it never had.
+/// Guards against counting an acknowledgement from a disk that was lost afterwards: the new
+/// disk is declared complete without the record.
 #[tokio::test]
-async fn an_answer_of_a_disk_that_is_gone_makes_no_quorum() {
+async fn a_reply_from_a_lost_disk_does_not_count_for_a_quorum() {
     use stageyoke_store::membership::is_caught_up_with_group;
     use stageyoke_store::quorum::{AppendTally, ChainLookup, ChainTally};
     LocalSet::new()
@@ -321,26 +326,26 @@
                 .await;
             tally.add_reply(&before.node, reply);
             assert!(!tally.is_stored());
-            // The disk is lost; the store comes back, tells its new disk, and fills up.
-            let (again, _again_folder) = local_store(0, false).await;
-            again.set_stores(stores.clone());
-            assert!(!again.is_complete() && !again.is_listed_with_current_disk());
-            let told = members.with_member(Member {
-                disk: again.disk(),
+            // The store restarts with an empty disk, which is registered and then filled.
+            let (restarted, _restarted_folder) = local_store(0, false).await;
+            restarted.set_stores(stores.clone());
+            assert!(!restarted.is_complete() && !restarted.is_listed_with_current_disk());
+            let relisted = members.with_member(Member {
+                disk: restarted.disk(),
                 ..member(0, "10.0.0.0:7000", "zone")
             });
-            let told = Rc::new(StoreGroups::single(told));
-            for local_store in [&again, &second, &third] {
-                local_store.set_stores(told.clone());
+            let relisted = Rc::new(StoreGroups::single(relisted));
+            for local_store in [&restarted, &second, &third] {
+                local_store.set_stores(relisted.clone());
                 while !local_store.has_saved_stores() {
                     tokio::time::sleep(Duration::from_millis(1)).await;
                 }
             }
-            assert!(again.is_listed_with_current_disk());
+            assert!(restarted.is_listed_with_current_disk());
             let front_version = version;
             let version = version + 1;
-            let of_second = caught_up(&second, &again, version).await;
-            let of_third = caught_up(&third, &again, version).await;
+            let of_second = caught_up(&second, &restarted, version).await;
+            let of_third = caught_up(&third, &restarted, version).await;
             assert!(is_caught_up_with_group(
                 &members,
                 &tolerance,
@@ -350,16 +355,16 @@
                     _ => false,
                 }
             ));
-            again.declare_complete();
-            // The front's repeat reaches the second member, within the same try.
+            restarted.declare_complete();
+            // The front's retransmission reaches the second member within the same attempt.
             let reply = second
                 .handle_request(append(front_version, turn("one", "")))
                 .await;
             tally.add_reply(&second.node, reply);
-            let kept = tally.is_stored();
-            // Another front asks.
-            let mut asked = ChainTally::new(&members, &tolerance).expect("a quorum");
-            for local_store in [&again, &third] {
+            let stored = tally.is_stored();
+            // Another front looks up the turn.
+            let mut lookup = ChainTally::new(&members, &tolerance).expect("a quorum");
+            for local_store in [&restarted, &third] {
                 let reply = local_store
                     .handle_request(Request::Chain {
                         group: GroupNumber(0),
@@ -367,35 +372,35 @@
                         turn: Text::from("one"),
                     })
                     .await;
-                asked.add_reply(&local_store.node, reply);
+                lookup.add_reply(&local_store.node, reply);
             }
-            let absent = asked.step() == ChainLookup::Absent;
-            assert!(!(kept && absent), "a kept turn is told as absent");
+            let absent = lookup.step() == ChainLookup::Absent;
+            assert!(!(stored && absent), "a stored turn is reported absent");
         })
         .await;
 }
 
-/// A store fills up from a peer. Between the page of digests and the fetch a segment of
-/// the peer passes its time: what was in it is delivered by nobody, ever.
+/// Guards against a sync that waits forever for records that a peer expired between its
+/// digests page and the fetch.
 #[test]
-fn what_expired_between_page_and_fetch_is_not_waited_for() {
-    let place = RecordLocation::default();
+fn records_expired_between_page_and_fetch_are_not_awaited() {
+    let location = RecordLocation::default();
     let mut peer = StoreState::new(7);
     for number in 0..6 {
-        peer.add(&turn(&format!("turn-{number}"), ""), place, 0);
+        peer.add(&turn(&format!("turn-{number}"), ""), location, 0);
     }
-    let standing = PeerStatus {
+    let status = PeerStatus {
         complete: true,
         members_version: 1,
     };
     let mut held: Vec<u64> = Vec::new();
-    let mut exchange = JournalSync::default();
+    let mut sync = JournalSync::default();
     let mut expired: Vec<Record> = (0..3)
         .map(|number| turn(&format!("turn-{number}"), ""))
         .collect();
     for _ in 0..20 {
-        exchange.mark_fetched();
-        let reply = peer.digests_reply(exchange.position(), standing, Default::default());
+        sync.mark_fetched();
+        let reply = peer.digests_reply(sync.position(), status, Default::default());
         let Reply::Digests {
             digests,
             next,
@@ -405,7 +410,7 @@
             ..
         } = reply
         else {
-            panic!("digests");
+            panic!("the reply has no digests");
         };
         let page = DigestPage {
             digests: &digests,
@@ -414,27 +419,26 @@
             complete,
             members_version,
         };
-        exchange.apply_page(page, |digest| held.contains(&digest));
+        sync.apply_page(page, |digest| held.contains(&digest));
         peer.expire(std::mem::take(&mut expired), 1_000_000);
-        let missing = exchange.missing_digests(|digest| held.contains(&digest));
+        let missing = sync.missing_digests(|digest| held.contains(&digest));
         let (delivered, forgotten): (Vec<u64>, Vec<u64>) =
             missing.into_iter().partition(|digest| peer.holds(*digest));
         held.extend(delivered);
-        exchange.forget_expired(peer.journal_end().journal, &forgotten);
-        exchange.missing_digests(|digest| held.contains(&digest));
-        exchange.mark_page_end();
+        sync.forget_expired(peer.journal_end().journal, &forgotten);
+        sync.missing_digests(|digest| held.contains(&digest));
+        sync.mark_page_end();
     }
     assert!(
-        exchange.is_caught_up_at(1),
-        "after 20 rounds it still waits for what nobody keeps any more"
+        sync.is_caught_up_at(1),
+        "after 20 rounds the sync still waits for expired records"
     );
 }
 
-/// A process was killed between the write of a batch and its sync. What the next process
-/// finds is counted as held and acknowledged at once: so the start syncs it. (That it does
-/// is seen from outside only, with the process's calls traced.)
+/// Recovery syncs what a killed process had written but not synced, so the next process may
+/// acknowledge it. The sync itself isn't checked here; it shows only in a system call trace.
 #[tokio::test]
-async fn what_a_killed_process_left_unsynced_is_acknowledged() {
+async fn records_left_unsynced_by_a_killed_process_are_acknowledged() {
     use stageyoke_store::segment::encode_record;
     use std::io::Write;
     LocalSet::new()
@@ -471,14 +475,14 @@
         .await;
 }
 
-async fn page_of(peer: &LocalStore, exchange: &mut JournalSync, holder: &LocalStore, version: u64) {
-    exchange.mark_fetched();
-    let question = Request::Digests {
+async fn sync_page(peer: &LocalStore, sync: &mut JournalSync, holder: &LocalStore, version: u64) {
+    sync.mark_fetched();
+    let request = Request::Digests {
         group: GroupNumber(0),
         members_version: version,
         node: holder.node.clone(),
-        from: exchange.position(),
-        held: exchange.held_position(),
+        from: sync.position(),
+        held: sync.held_position(),
     };
     let Reply::Digests {
         digests,
@@ -487,9 +491,9 @@
         complete,
         members_version,
         ..
-    } = peer.handle_request(question).await
+    } = peer.handle_request(request).await
     else {
-        panic!("digests");
+        panic!("the reply has no digests");
     };
     let page = DigestPage {
         digests: &digests,
@@ -498,15 +502,14 @@
         complete,
         members_version,
     };
-    exchange.apply_page(page, |digest| holder.holds(digest));
-    exchange.mark_page_end();
+    sync.apply_page(page, |digest| holder.holds(digest));
+    sync.mark_page_end();
 }
 
-/// The whole schedule: of {0 1 2} store 2 is cut off from the stores, store 3 takes its
-/// place, and a front with the old list keeps a turn on 1 and 2. The disk of 1 is not done
-/// with it when 1 is compared with; the change is settled without it.
+/// Guards against a settled member list that misses a turn: store 3 replaces store 2 while a
+/// front with the old list stores a turn on 1 and 2, and the disk of store 1 is slow.
 #[tokio::test]
-async fn a_turn_kept_while_a_disk_is_slow_is_met_by_the_settled_list() {
+async fn a_settled_member_list_does_not_miss_a_turn_on_a_slow_disk() {
     use stageyoke_store::membership::{FencedJournalEnd, is_fenced};
     use stageyoke_store::quorum::{AppendTally, ChainLookup, ChainTally};
     LocalSet::new()
@@ -522,7 +525,7 @@
             let (first, _first) = local_store(0, true).await;
             let (third, _third) = local_store(2, true).await;
             let (joined, _joined) = local_store(3, false).await;
-            // Store 1 by hand: its results are taken when its disk is done.
+            // Store 1 processes its journal results only later, as if its disk were slow.
             let folder = tempfile::tempdir().expect("folder");
             let data = DataFolder::open(folder.path()).expect("open");
             let recovered = data.recover(2, true).expect("recover");
@@ -533,7 +536,7 @@
             for local_store in [&first, &slow, &third] {
                 local_store.set_stores(old_stores.clone());
             }
-            let saved = async |local_store: &LocalStore| {
+            let await_saved_stores = async |local_store: &LocalStore| {
                 while !local_store.has_saved_stores() {
                     tokio::time::sleep(Duration::from_millis(1)).await;
                 }
@@ -544,37 +547,37 @@
                 .handle_request(append(old.version, turn("one", "")))
                 .await;
             tally.add_reply(&third.node, reply);
-            let appending = slow.clone();
+            let slow_store = slow.clone();
             let version = old.version;
-            let appended = tokio::task::spawn_local(async move {
-                appending
+            let append_task = tokio::task::spawn_local(async move {
+                slow_store
                     .handle_request(append(version, turn("one", "")))
                     .await
             });
             tokio::task::yield_now().await;
-            // Store 3 has caught up; the change is proposed, 0 and 1 hear of it.
+            // Store 3 has caught up; stores 0 and 1 receive the proposed change.
             joined.set_stores(new_stores.clone());
             joined.declare_complete();
             for local_store in [&first, &slow] {
                 local_store.set_stores(new_stores.clone());
-                saved(local_store).await;
+                await_saved_stores(local_store).await;
             }
-            saved(&joined).await;
+            await_saved_stores(&joined).await;
             let mut of_slow = JournalSync::default();
             let mut of_first = JournalSync::default();
             for _ in 0..2 {
-                page_of(&slow, &mut of_slow, &first, change.version).await;
-                page_of(&first, &mut of_first, &joined, change.version).await;
+                sync_page(&slow, &mut of_slow, &first, change.version).await;
+                sync_page(&first, &mut of_first, &joined, change.version).await;
             }
             let is_fenced = is_fenced(&change, &tolerance, |member| match member.node.as_str() {
                 "store-0" => first.is_complete() && first.has_saved_stores(),
                 "store-1" => of_slow.is_in_sync(change.version),
                 _ => false,
             });
-            let shared =
+            let fenced_end =
                 FencedJournalEnd::for_members(&change, None, is_fenced, first.journal_end());
             let holds =
-                |node: &str| shared.is_some_and(|end| end.is_covered_by(first.held_by(node)));
+                |node: &str| fenced_end.is_some_and(|end| end.is_covered_by(first.held_by(node)));
             let peers: Vec<PeerHealth> = [1, 2, 3]
                 .into_iter()
                 .map(|number| format!("store-{number}"))
@@ -584,7 +587,7 @@
                     node: Text::from(node),
                 })
                 .collect();
-            let oneself = LocalMember {
+            let local_member = LocalMember {
                 entry: entry(0),
                 complete: first.is_complete(),
                 caught_up: true,
@@ -597,40 +600,37 @@
                 replacement_timeout: Duration::from_secs(2),
             };
             let settled = change.settle_change();
-            let step = decide(&change, &oneself, &peers, &tolerance);
+            let step = decide(&change, &local_member, &peers, &tolerance);
             assert_eq!(
                 step,
                 MembershipStep::Change(settled.clone()),
-                "it is settled"
+                "the change is settled"
             );
             let settled_stores = Rc::new(StoreGroups::single(settled.clone()));
             for local_store in [&first, &joined] {
                 local_store.set_stores(settled_stores.clone());
             }
-            // The disk of 1 is done.
+            // The disk of store 1 completes the write.
             let collector = slow.clone();
             tokio::task::spawn_local(
                 async move { collector.process_journal_results(results).await },
             );
-            tally.add_reply(&slow.node, appended.await.expect("answered"));
-            let kept = tally.is_stored();
+            tally.add_reply(&slow.node, append_task.await.expect("answered"));
+            let stored = tally.is_stored();
             let settled_list = Rc::new(settled.clone());
-            let mut asked = ChainTally::new(&settled_list, &tolerance).expect("a quorum");
+            let mut lookup = ChainTally::new(&settled_list, &tolerance).expect("a quorum");
             for local_store in [&first, &joined] {
-                let question = Request::Chain {
+                let request = Request::Chain {
                     group: GroupNumber(0),
                     members_version: settled.version,
                     turn: Text::from("one"),
                 };
-                asked.add_reply(
-                    &local_store.node,
-                    local_store.handle_request(question).await,
-                );
+                lookup.add_reply(&local_store.node, local_store.handle_request(request).await);
             }
-            let absent = asked.step() == ChainLookup::Absent;
+            let absent = lookup.step() == ChainLookup::Absent;
             assert!(
-                !(kept && absent),
-                "a kept turn is told as absent; no disk was lost"
+                !(stored && absent),
+                "a stored turn is reported absent although no disk was lost"
             );
         })
         .await;
