--- a/crates/stageyoke-store/tests/group_test.rs
+++ b/crates/stageyoke-store/tests/group_test.rs
@@ -340,17 +340,17 @@
     run_local(async {
         let (mut stores, group) = start_group(3).await;
         stores.push(Store::start(3, true).await);
-        let grown = store_groups(&stores);
-        let left = stores.remove(0);
-        let members = grown.group(GroupNumber(0)).expect("group");
-        let rest = members.list_without(&left.local_store.node);
-        let newest = members.start_change(rest).settle_change();
+        let four_stores = store_groups(&stores);
+        let departed = stores.remove(0);
+        let members = four_stores.group(GroupNumber(0)).expect("group");
+        let remaining = members.list_without(&departed.local_store.node);
+        let newest = members.start_change(remaining).settle_change();
         let newest = Rc::new(StoreGroups::single(newest));
         assert!(newest.version > group.stores().version + 1);
         for store in &stores {
             store.local_store.set_stores(newest.clone());
         }
-        left.stop();
+        departed.stop();
         let refused = group
             .append(reserve_record("one"), SHORT_TIMEOUT)
             .await
@@ -363,7 +363,7 @@
             .expect("stored");
         group.append_in_background(turn("two", ""), TIMEOUT);
         // A later update from the service may be older.
-        group.update_stores(&grown);
+        group.update_stores(&four_stores);
         assert_eq!(group.stores().version, newest.version);
     })
     .await;
--- a/crates/stageyoke-store/tests/joint_configuration_test.rs
+++ b/crates/stageyoke-store/tests/joint_configuration_test.rs
@@ -310,10 +310,10 @@
             });
             let version = members.version;
             let stores = Rc::new(StoreGroups::single(members.clone()));
-            let (before, _before_folder) = local_store(0, true).await;
+            let (first, _first_folder) = local_store(0, true).await;
             let (second, _second_folder) = local_store(1, true).await;
             let (third, _third_folder) = local_store(2, true).await;
-            for local_store in [&before, &second, &third] {
+            for local_store in [&first, &second, &third] {
                 local_store.set_stores(stores.clone());
                 while !local_store.has_saved_stores() {
                     tokio::time::sleep(Duration::from_millis(1)).await;
@@ -321,10 +321,8 @@
             }
             let members = Rc::new(members);
             let mut tally = AppendTally::new(&members, &tolerance, false).expect("a quorum");
-            let reply = before
-                .handle_request(append(version, turn("one", "")))
-                .await;
-            tally.add_reply(&before.node, reply);
+            let reply = first.handle_request(append(version, turn("one", ""))).await;
+            tally.add_reply(&first.node, reply);
             assert!(!tally.is_stored());
             // The store restarts with an empty disk, which is registered and then filled.
             let (restarted, _restarted_folder) = local_store(0, false).await;
@@ -344,14 +342,14 @@
             assert!(restarted.is_listed_with_current_disk());
             let front_version = version;
             let version = version + 1;
-            let of_second = caught_up(&second, &restarted, version).await;
-            let of_third = caught_up(&third, &restarted, version).await;
+            let sync_with_second = caught_up(&second, &restarted, version).await;
+            let sync_with_third = caught_up(&third, &restarted, version).await;
             assert!(is_caught_up_with_group(
                 &members,
                 &tolerance,
                 |node| match node {
-                    "store-1" => of_second.is_caught_up_at(version),
-                    "store-2" => of_third.is_caught_up_at(version),
+                    "store-1" => sync_with_second.is_caught_up_at(version),
+                    "store-2" => sync_with_third.is_caught_up_at(version),
                     _ => false,
                 }
             ));
@@ -563,15 +561,15 @@
                 await_saved_stores(local_store).await;
             }
             await_saved_stores(&joined).await;
-            let mut of_slow = JournalSync::default();
-            let mut of_first = JournalSync::default();
+            let mut sync_with_slow = JournalSync::default();
+            let mut sync_with_first = JournalSync::default();
             for _ in 0..2 {
-                sync_page(&slow, &mut of_slow, &first, change.version).await;
-                sync_page(&first, &mut of_first, &joined, change.version).await;
+                sync_page(&slow, &mut sync_with_slow, &first, change.version).await;
+                sync_page(&first, &mut sync_with_first, &joined, change.version).await;
             }
             let is_fenced = is_fenced(&change, &tolerance, |member| match member.node.as_str() {
                 "store-0" => first.is_complete() && first.has_saved_stores(),
-                "store-1" => of_slow.is_in_sync(change.version),
+                "store-1" => sync_with_slow.is_in_sync(change.version),
                 _ => false,
             });
             let fenced_end =
--- a/crates/stageyoke-store/tests/membership_test.rs
+++ b/crates/stageyoke-store/tests/membership_test.rs
@@ -136,13 +136,13 @@
     #[case] wait_reason: Option<WaitReason>,
 ) {
     let list = members(3);
-    let newcomer = LocalMember {
+    let new_store = LocalMember {
         complete,
         caught_up,
         has_room: room,
         ..local_member(3)
     };
-    let step = decide(&list, &newcomer, &peers(&list, 3, &[], &[]), &tolerance());
+    let step = decide(&list, &new_store, &peers(&list, 3, &[], &[]), &tolerance());
     let expected = match wait_reason {
         None => MembershipStep::Change(list.start_change(members(4).list)),
         Some(waiting) => MembershipStep::Wait(waiting),
@@ -155,11 +155,11 @@
 #[test]
 fn a_new_store_waits_while_a_member_may_be_lost() {
     let list = members(3);
-    let newcomer = local_member(3);
+    let new_store = local_member(3);
     let silent = (1, REPLACEMENT_TIMEOUT / 2 + Duration::from_millis(1));
     let step = decide(
         &list,
-        &newcomer,
+        &new_store,
         &peers(&list, 3, &[silent], &[]),
         &tolerance(),
     );
@@ -271,20 +271,25 @@
 fn only_members_of_the_new_list_count_as_holders() {
     let list = members(3);
     let during = list.start_change(list.list_without("store-2"));
-    let leaver = LocalMember {
+    let leaving_member = LocalMember {
         retiring: true,
         member_list_age: STEP_TAKEOVER_DELAY,
         ..local_member(2)
     };
     let step = decide(
         &during,
-        &leaver,
+        &leaving_member,
         &peers(&during, 2, &[], &[1]),
         &tolerance(),
     );
     let expected = MembershipStep::Wait(WaitReason::Holders);
     assert_eq!(step, expected, "store-0 alone holds everything");
-    let step = decide(&during, &leaver, &peers(&during, 2, &[], &[]), &tolerance());
+    let step = decide(
+        &during,
+        &leaving_member,
+        &peers(&during, 2, &[], &[]),
+        &tolerance(),
+    );
     assert_eq!(step, MembershipStep::Change(during.settle_change()));
 }
 
@@ -321,11 +326,14 @@
     let settled = MembershipStep::Change(during.settle_change());
     let step = decide(&during, &second, &first_is_silent, &tolerance());
     assert_eq!(step, settled);
-    let later = LocalMember {
+    let after_delay = LocalMember {
         member_list_age: STEP_TAKEOVER_DELAY,
         ..second
     };
-    assert_eq!(decide(&during, &later, &health, &tolerance()), settled);
+    assert_eq!(
+        decide(&during, &after_delay, &health, &tolerance()),
+        settled
+    );
 }
 
 /// Guards against a group that stays unavailable because its new members are lost although
@@ -385,8 +393,8 @@
     let step = decide(&list, &local_member(0), &health, &tolerance());
     let expected = match removed {
         Some(number) => {
-            let rest = list.list_without(&format!("store-{number}"));
-            MembershipStep::Change(list.start_change(rest))
+            let remaining = list.list_without(&format!("store-{number}"));
+            MembershipStep::Change(list.start_change(remaining))
         }
         None if silent.is_empty() => MembershipStep::Wait(WaitReason::Nothing),
         None => MembershipStep::Wait(WaitReason::Successor),
@@ -435,12 +443,12 @@
         &[2, 3],
     );
     let step = decide(&during, &local_member(0), &health, &tolerance);
-    let rest = during.settle_change();
-    assert_eq!(step, MembershipStep::Change(rest.clone()));
-    let health = peers(&rest, 0, &[silent_past_removal_timeout(2)], &[]);
-    let step = decide(&rest, &local_member(0), &health, &tolerance);
-    let without = rest.start_change(rest.list_without("store-2"));
-    assert_eq!(step, MembershipStep::Change(without));
+    let remaining = during.settle_change();
+    assert_eq!(step, MembershipStep::Change(remaining.clone()));
+    let health = peers(&remaining, 0, &[silent_past_removal_timeout(2)], &[]);
+    let step = decide(&remaining, &local_member(0), &health, &tolerance);
+    let next_change = remaining.start_change(remaining.list_without("store-2"));
+    assert_eq!(step, MembershipStep::Change(next_change));
     let three = peers(
         &list,
         0,
@@ -471,7 +479,7 @@
     #[case] starts: bool,
 ) {
     let list = members(count);
-    let leaver = LocalMember {
+    let leaving_member = LocalMember {
         retiring: true,
         ..local_member(count - 1)
     };
@@ -480,12 +488,15 @@
         .map(|number| silent_past_replacement_timeout(*number))
         .collect();
     let health = peers(&list, count - 1, &silent, &[]);
-    let rest = list.list_without(&format!("store-{}", count - 1));
+    let remaining = list.list_without(&format!("store-{}", count - 1));
     let expected = match starts {
-        true => MembershipStep::StartLeaving(list.start_change(rest)),
+        true => MembershipStep::StartLeaving(list.start_change(remaining)),
         false => MembershipStep::Wait(WaitReason::OthersToServe),
     };
-    assert_eq!(decide(&list, &leaver, &health, &tolerance()), expected);
+    assert_eq!(
+        decide(&list, &leaving_member, &health, &tolerance()),
+        expected
+    );
 }
 
 /// A store that was removed while unreachable returns as a spare and joins if there is
@@ -493,20 +504,23 @@
 #[test]
 fn a_removed_store_rejoins_after_its_return() {
     let list = members(3);
-    let rest = list
+    let remaining = list
         .start_change(list.list_without("store-1"))
         .settle_change();
-    let health = peers(&rest, 1, &[], &[]);
+    let health = peers(&remaining, 1, &[], &[]);
     let returned = LocalMember {
         caught_up: false,
         ..local_member(1)
     };
-    let step = decide(&rest, &returned, &health, &tolerance());
+    let step = decide(&remaining, &returned, &health, &tolerance());
     assert_eq!(step, MembershipStep::Wait(WaitReason::CatchUp));
-    let step = decide(&rest, &local_member(1), &health, &tolerance());
-    let mut rejoined = rest.list.clone();
+    let step = decide(&remaining, &local_member(1), &health, &tolerance());
+    let mut rejoined = remaining.list.clone();
     rejoined.push(member(1));
-    assert_eq!(step, MembershipStep::Change(rest.start_change(rejoined)));
+    assert_eq!(
+        step,
+        MembershipStep::Change(remaining.start_change(rejoined))
+    );
 }
 
 /// A surplus member leaves as a retiring one does, after a delay.
@@ -522,6 +536,6 @@
     assert_eq!(step, MembershipStep::Wait(WaitReason::Nothing));
     extra.member_list_age = SURPLUS_LEAVE_DELAY;
     let step = decide(&list, &extra, &health, &tolerance());
-    let rest = list.start_change(members(3).list);
-    assert_eq!(step, MembershipStep::StartLeaving(rest));
+    let remaining = list.start_change(members(3).list);
+    assert_eq!(step, MembershipStep::StartLeaving(remaining));
 }
--- a/crates/stageyoke-store/tests/plans/loss_tracker.rs
+++ b/crates/stageyoke-store/tests/plans/loss_tracker.rs
@@ -173,19 +173,19 @@
         }
     }
 
-    /// When the current catch-up time of a lost disk started.
+    /// Since when the catch-up time of a lost disk has been running.
     pub fn recovering_since(&self, store: usize) -> Option<u64> {
         let mut lost = self.lost_disks.iter();
         lost.find(|lost| lost.store == store)?.recovering_since
     }
 
-    /// When the losses came within what every group tolerates, with the key-value
-    /// service stable.
+    /// Since when every group has tolerated the current losses while the key-value service
+    /// was stable.
     pub fn within_tolerance_since(&self) -> Option<u64> {
         self.within_tolerance_since
     }
 
-    /// When, in addition, the catch-up time had passed since any machine last changed.
+    /// Since when, in addition, the catch-up time has passed without a change of any machine.
     pub fn undisturbed_since(&self) -> Option<u64> {
         let within_tolerance_since = self.within_tolerance_since?;
         Some(within_tolerance_since.max(self.changed_at + self.catch_up_millis))
--- a/crates/stageyoke-store/tests/plans/mod.rs
+++ b/crates/stageyoke-store/tests/plans/mod.rs
@@ -58,8 +58,8 @@
     /// The machine is lost for good and an empty one is added after this time. Skipped
     /// if that would exceed the tolerance.
     Replace(usize, u64),
-    /// The operator retires the store; the machine goes after the first time, and an
-    /// empty one is added after the second.
+    /// The operator retires the store; the machine is removed after the first duration,
+    /// and an empty one is added after the second.
     RetireAndReplace(usize, u64, u64),
     /// An empty store is added.
     Add,
--- a/crates/stageyoke-store/tests/plans/simulation.rs
+++ b/crates/stageyoke-store/tests/plans/simulation.rs
@@ -1134,8 +1134,9 @@
             .filter(|store| store.retiring && !store.gone)
         {
             let members = store.group().and_then(|group| self.directory.group(group));
-            let rest = members.map(|members| members.list_without(&store.entry.node));
-            let can_leave = rest.is_some_and(|rest| write_quorum(&rest, &self.tolerance).is_some());
+            let remaining = members.map(|members| members.list_without(&store.entry.node));
+            let can_leave = remaining
+                .is_some_and(|remaining| write_quorum(&remaining, &self.tolerance).is_some());
             if can_leave && store.is_active(self.now) {
                 let violation = format!("{} has not left", store.entry.node);
                 self.outcome.violations.push(violation);
