--- a/crates/stageyoke-store/tests/relay_test.rs
+++ b/crates/stageyoke-store/tests/directory_relay_test.rs
@@ -1,4 +1,4 @@
-//! Which stores a front asks for the directory.
+//! How a front chooses the stores that it asks for the directory.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -16,35 +16,36 @@
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 
-const ACCEPTABLE: RelayRequirements = RelayRequirements {
+const REQUIREMENTS: RelayRequirements = RelayRequirements {
     answer_timeout: Duration::from_secs(2),
     max_age: Duration::from_secs(1),
 };
-const OLD: u32 = 5_000;
-const YOUNG: u32 = 100;
+const STALE_AGE_MILLISECONDS: u32 = 5_000;
+const FRESH_AGE_MILLISECONDS: u32 = 100;
 
-/// A store whose copy of the directory is so many milliseconds old; it names these
-/// other stores, and counts the questions for the directory.
-async fn tell_among(
+/// Serves a directory copy of the given age, names `store_addresses` as the known stores and
+/// counts the requests for the whole directory.
+async fn serve_directory_with_stores(
     listener: TcpListener,
     age_milliseconds: u32,
-    named: Vec<Text>,
-    asked_for: Rc<Cell<usize>>,
+    store_addresses: Vec<Text>,
+    directory_requests: Rc<Cell<usize>>,
 ) {
     while let Ok((stream, _)) = listener.accept().await {
         let (mut reader, mut writer) = stream.into_split();
-        let (named, asked_for) = (named.clone(), asked_for.clone());
+        let (store_addresses, directory_requests) =
+            (store_addresses.clone(), directory_requests.clone());
         tokio::task::spawn_local(async move {
-            while let Ok(asked) = frame::read::<Numbered<Request>>(&mut reader).await {
+            while let Ok(request) = frame::read::<Numbered<Request>>(&mut reader).await {
                 let mark = CopyFreshness {
                     revision: u64::from(age_milliseconds),
                     age_milliseconds,
                     lapsed_entry_grace_milliseconds: 0,
                 };
-                let content = match asked.content {
-                    Request::Stores => Reply::Stores(List(named.clone())),
+                let content = match request.content {
+                    Request::Stores => Reply::Stores(List(store_addresses.clone())),
                     Request::Directory => {
-                        asked_for.set(asked_for.get() + 1);
+                        directory_requests.set(directory_requests.get() + 1);
                         Reply::Directory {
                             items: List::default(),
                             mark,
@@ -56,7 +57,7 @@
                         mark,
                     },
                 };
-                let number = asked.number;
+                let number = request.number;
                 let bytes = frame::encode(&Numbered { number, content });
                 if writer.write_all(&bytes).await.is_err() {
                     return;
@@ -66,11 +67,11 @@
     }
 }
 
-async fn tell(listener: TcpListener, age_milliseconds: u32) {
-    tell_among(listener, age_milliseconds, Vec::new(), Rc::default()).await;
+async fn serve_directory(listener: TcpListener, age_milliseconds: u32) {
+    serve_directory_with_stores(listener, age_milliseconds, Vec::new(), Rc::default()).await;
 }
 
-async fn relay(ages: &[(&str, u32)]) -> StoreRelay {
+async fn start_relay(ages: &[(&str, u32)]) -> StoreRelay {
     let mut members = Members::default();
     for (number, (zone, age)) in ages.iter().enumerate() {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
@@ -82,62 +83,66 @@
             state: MemberState::Active,
             disk: 0,
         });
-        tokio::task::spawn_local(tell(listener, *age));
+        tokio::task::spawn_local(serve_directory(listener, *age));
     }
     let groups = GroupClients::new(Text::from("near"), Tolerance::of_machines(1));
     groups.update_stores(&Rc::new(StoreGroups::single(members)));
     StoreRelay::new(Rc::new(groups), Vec::new())
 }
 
-/// The service turns some stores away and serves the others: what the first knows
-/// gets old, and a front that went on asking them would never hear of a key that
-/// was taken away.
+/// A store that the key-value service rejects has a stale copy. A front that kept asking it
+/// would miss removed keys.
 #[tokio::test]
-async fn a_store_with_an_old_copy_is_passed_over() {
+async fn a_store_with_a_stale_copy_is_skipped() {
     let test = async {
-        let relay = relay(&[("near", OLD), ("far", YOUNG)]).await;
+        let relay = start_relay(&[
+            ("near", STALE_AGE_MILLISECONDS),
+            ("far", FRESH_AGE_MILLISECONDS),
+        ])
+        .await;
         for _ in 0..20 {
-            let told = relay
-                .fetch_changes(0, ACCEPTABLE)
+            let reply = relay
+                .fetch_changes(0, REQUIREMENTS)
                 .await
-                .expect("a young copy");
-            assert_eq!(told.payload.revision, u64::from(YOUNG));
+                .expect("a fresh copy");
+            assert_eq!(reply.payload.revision, u64::from(FRESH_AGE_MILLISECONDS));
         }
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// All stores of the front's own zone are turned away.
+/// The key-value service rejects all stores of the front's own zone.
 #[tokio::test]
-async fn other_zones_are_asked_where_the_own_one_knows_nothing_young() {
+async fn other_zones_are_asked_when_all_local_copies_are_stale() {
     let test = async {
-        let relay = relay(&[
-            ("near", OLD),
-            ("near", OLD),
-            ("near", OLD),
-            ("far", YOUNG),
-            ("far", YOUNG),
+        let relay = start_relay(&[
+            ("near", STALE_AGE_MILLISECONDS),
+            ("near", STALE_AGE_MILLISECONDS),
+            ("near", STALE_AGE_MILLISECONDS),
+            ("far", FRESH_AGE_MILLISECONDS),
+            ("far", FRESH_AGE_MILLISECONDS),
         ])
         .await;
         let mut answered = 0;
         for _ in 0..20 {
-            let told = relay.fetch_changes(0, ACCEPTABLE).await;
-            let young = told.is_some_and(|told| told.payload.revision == u64::from(YOUNG));
-            answered += usize::from(young);
+            let reply = relay.fetch_changes(0, REQUIREMENTS).await;
+            let fresh = reply
+                .is_some_and(|reply| reply.payload.revision == u64::from(FRESH_AGE_MILLISECONDS));
+            answered += usize::from(fresh);
         }
-        assert!(answered >= 15, "{answered} of 20 questions");
+        assert!(answered >= 15, "{answered} of 20 requests");
         assert!(
-            relay.fetch_changes(0, ACCEPTABLE).await.is_some(),
-            "the last that knew is kept"
+            relay.fetch_changes(0, REQUIREMENTS).await.is_some(),
+            "the last store with a fresh copy is asked again"
         );
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// Many fronts start before the groups are formed, and their settings name one store:
-/// it names the others, and these tell the directory as well.
+/// Guards against many starting fronts that all fetch the directory from the one store in their
+/// settings: it must refer them to the other stores.
 #[tokio::test]
-async fn the_stores_of_the_settings_do_not_tell_everybody_everything() {
+async fn directory_requests_are_spread_beyond_the_configured_stores() {
     let test = async {
         let mut listeners = Vec::new();
         let mut addresses = Vec::new();
@@ -149,15 +154,20 @@
         }
         let counts: Vec<Rc<Cell<usize>>> = (0..8).map(|_| Rc::default()).collect();
         for (listener, count) in listeners.into_iter().zip(&counts) {
-            let telling = tell_among(listener, YOUNG, addresses.clone(), count.clone());
-            tokio::task::spawn_local(telling);
+            let server = serve_directory_with_stores(
+                listener,
+                FRESH_AGE_MILLISECONDS,
+                addresses.clone(),
+                count.clone(),
+            );
+            tokio::task::spawn_local(server);
         }
-        let seed = addresses[0].to_string();
+        let seed_address = addresses[0].to_string();
         for _ in 0..60 {
             let groups = GroupClients::new(Text::from("near"), Tolerance::of_machines(1));
-            let relay = StoreRelay::new(Rc::new(groups), vec![seed.clone()]);
-            let told = relay.fetch_items(ACCEPTABLE).await;
-            assert!(told.is_some());
+            let relay = StoreRelay::new(Rc::new(groups), vec![seed_address.clone()]);
+            let reply = relay.fetch_items(REQUIREMENTS).await;
+            assert!(reply.is_some());
         }
         let counts: Vec<usize> = counts.iter().map(|count| count.get()).collect();
         assert_eq!(counts.iter().sum::<usize>(), 60);
--- a/crates/stageyoke-store/tests/bounds_test.rs
+++ b/crates/stageyoke-store/tests/limits_test.rs
@@ -1,6 +1,4 @@
-//! What a store's memory and disk grow by, and what bounds them: ages go on over
-//! restarts, a full memory refuses new turns first, and a store that takes
-//! nothing forgets all the same.
+//! Limits on the memory and disk that a store uses, and the expiry of its records.
 
 mod support;
 
@@ -30,7 +28,7 @@
     }
 }
 
-/// Writes segments that began at these seconds of the disk's clock.
+/// Writes segments that started at the given seconds of the disk clock.
 fn write_segments(path: &Path, segments: &[(u64, &[Record])]) {
     let folder = DataFolder::open(path).expect("folder");
     folder.recover(1, true).expect("first start");
@@ -46,13 +44,13 @@
 }
 
 fn open(path: &Path, limits: StoreLimits) -> Rc<LocalStore> {
-    open_disk(path, limits, 2)
+    open_with_disk_id(path, limits, 2)
 }
 
-/// The same for a start that draws this number.
-fn open_disk(path: &Path, limits: StoreLimits, drawn: u64) -> Rc<LocalStore> {
+/// Opens the store as a process start that draws `disk_id` for the disk.
+fn open_with_disk_id(path: &Path, limits: StoreLimits, disk_id: u64) -> Rc<LocalStore> {
     let folder = DataFolder::open(path).expect("folder");
-    let recovered = folder.recover(drawn, false).expect("recover");
+    let recovered = folder.recover(disk_id, false).expect("recover");
     let node = Text::from(NODE);
     let (local_store, results) =
         LocalStore::open(node, folder, recovered, limits).expect("threads");
@@ -94,24 +92,26 @@
     let turn = Text::from(turn);
     match local_store.handle_request(chain_request(turn)).await {
         Reply::Chain { parts, missing, .. } => (parts.len(), missing.to_string()),
-        other => panic!("a chain: {other:?}"),
+        other => panic!("expected a chain: {other:?}"),
     }
 }
 
-async fn local(test: impl Future<Output = ()>) {
+async fn run_local(test: impl Future<Output = ()>) {
     LocalSet::new().run_until(test).await;
 }
 
-/// The time that a record is kept does not begin anew at a restart: what the
-/// disk's clock says is past its time goes, also from a store that takes
-/// nothing, and what a younger turn goes on from is written again.
+/// A restart must not reset the age of records: expired ones are dropped even when nothing is
+/// written, and a turn that a younger one continues is written again.
 #[tokio::test]
-async fn ages_go_on_over_restarts_and_an_idle_store_forgets() {
-    local(async {
+async fn record_ages_survive_a_restart_and_an_idle_store_expires_records() {
+    run_local(async {
         let path = tempfile::tempdir().expect("folder");
-        let old = [turn("old", ""), turn("first", "")];
-        let young = [turn("second", "first")];
-        write_segments(path.path(), &[(0, &old), (10, &[]), (490, &young)]);
+        let expired = [turn("old", ""), turn("first", "")];
+        let recent_records = [turn("second", "first")];
+        write_segments(
+            path.path(),
+            &[(0, &expired), (10, &[]), (490, &recent_records)],
+        );
         let local_store = open(path.path(), StoreLimits::default());
         assert_eq!(chain(&local_store, "old").await, (1, String::new()));
         local_store.expire_segments().await;
@@ -121,13 +121,13 @@
         assert_eq!(chain(&local_store, "old").await, (0, "old".to_owned()));
         assert_eq!(chain(&local_store, "second").await, (2, String::new()));
         let folder = DataFolder::open(path.path()).expect("folder");
-        let left = folder.segment_numbers().expect("numbers");
-        assert!(!left.contains(&0), "{left:?}");
-        let again = folder.recover(3, false).expect("recover");
+        let remaining = folder.segment_numbers().expect("numbers");
+        assert!(!remaining.contains(&0), "{remaining:?}");
+        let restarted = folder.recover(3, false).expect("recover");
         assert!(
-            again.clock_seconds >= 490,
-            "and the clock goes on: {}",
-            again.clock_seconds
+            restarted.clock_seconds >= 490,
+            "the clock does not go back: {}",
+            restarted.clock_seconds
         );
     })
     .await;
@@ -146,63 +146,60 @@
     };
     match local_store.handle_request(request).await {
         Reply::Digests { digests, next, .. } => (digests.0, next),
-        other => panic!("digests: {other:?}"),
+        other => panic!("expected digests: {other:?}"),
     }
 }
 
-/// A store that had forgotten old records and started again counted its journal from
-/// nought, under the same name as before. A peer went on from a place beyond the new end,
-/// was told that there was nothing more, and never saw what was written in between: it
-/// took itself as in step, and a list could be settled on it.
+/// Guards against a restarted store that reuses its journal's name and counts from zero: a peer
+/// then asked from a position past the new end and missed records.
 #[tokio::test]
-async fn a_peer_sees_what_was_written_after_a_restart() {
-    local(async {
+async fn a_peer_receives_digests_of_records_written_after_a_restart() {
+    run_local(async {
         let path = tempfile::tempdir().expect("folder");
-        let old = [turn("old", ""), turn("older", ""), turn("oldest", "")];
+        let expired = [turn("old", ""), turn("older", ""), turn("oldest", "")];
         write_segments(
             path.path(),
-            &[(0, &old), (10, &[]), (490, &[turn("young", "")])],
+            &[(0, &expired), (10, &[]), (490, &[turn("young", "")])],
         );
         let local_store = open(path.path(), StoreLimits::default());
-        let (_, compared_up_to) = digests_from(&local_store, JournalPosition::default()).await;
+        let (_, compared_position) = digests_from(&local_store, JournalPosition::default()).await;
         local_store.expire_segments().await;
         let folder = DataFolder::open(path.path()).expect("folder");
         while folder.segment_numbers().expect("numbers").contains(&0) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        let again = open_disk(path.path(), StoreLimits::default(), 3);
-        append(&again, turn("written", "")).await;
-        let (seen, _) = digests_from(&again, compared_up_to).await;
-        assert!(seen.contains(&turn("written", "").digest()));
+        let restarted = open_with_disk_id(path.path(), StoreLimits::default(), 3);
+        append(&restarted, turn("written", "")).await;
+        let (digests, _) = digests_from(&restarted, compared_position).await;
+        assert!(digests.contains(&turn("written", "").digest()));
     })
     .await;
 }
 
-/// A store told its peers that it went by a list before that list was on its disk. After
-/// a loss of power it would have gone by the older one again, while a change had been
-/// settled on its word. It counts for nothing until the list is kept.
+/// A store that counts by a member list before the list is on disk falls back to the older list
+/// after a power loss, although a membership change relied on it.
 #[tokio::test]
-async fn a_list_counts_once_it_is_on_the_disk() {
-    local(async {
+async fn a_member_list_counts_only_once_it_is_on_disk() {
+    run_local(async {
         let path = tempfile::tempdir().expect("folder");
         write_segments(path.path(), &[]);
-        let in_the_way = path.path().join("stores");
-        std::fs::create_dir(&in_the_way).expect("a folder in the file's place");
+        let blocking_folder = path.path().join("stores");
+        std::fs::create_dir(&blocking_folder).expect("folder in place of the file");
         let local_store = open(path.path(), StoreLimits::default());
         tokio::time::sleep(Duration::from_millis(200)).await;
         assert!(local_store.is_complete() && !local_store.has_saved_stores());
-        assert!(!vouches_to_peer(&local_store).await);
-        std::fs::remove_dir(&in_the_way).expect("out of the way");
+        assert!(!reports_complete(&local_store).await);
+        std::fs::remove_dir(&blocking_folder).expect("remove the blocking folder");
         local_store.retry_saving_stores();
         while !local_store.has_saved_stores() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        assert!(vouches_to_peer(&local_store).await);
+        assert!(reports_complete(&local_store).await);
     })
     .await;
 }
 
-async fn vouches_to_peer(local_store: &LocalStore) -> bool {
+async fn reports_complete(local_store: &LocalStore) -> bool {
     let request = Request::Digests {
         group: GroupNumber(0),
         members_version: 1,
@@ -214,26 +211,32 @@
     matches!(reply, Reply::Digests { complete: true, .. })
 }
 
-/// A clock that was set back by a lost tail never lets a record go too early.
+/// A clock set back by a lost tail must not expire records early.
 #[rstest]
 #[case(&[0, 10, 20], 20)]
 #[case(&[0, 500, 20], 500)]
-fn the_clock_is_the_latest_that_any_segment_tells(#[case] starts: &[u64], #[case] clock: u64) {
+fn recovery_takes_the_latest_clock_of_any_segment(
+    #[case] segment_seconds: &[u64],
+    #[case] expected_seconds: u64,
+) {
     let path = tempfile::tempdir().expect("folder");
-    let segments: Vec<(u64, &[Record])> = starts.iter().map(|start| (*start, &[][..])).collect();
+    let segments: Vec<(u64, &[Record])> = segment_seconds
+        .iter()
+        .map(|seconds| (*seconds, &[][..]))
+        .collect();
     write_segments(path.path(), &segments);
     let folder = DataFolder::open(path.path()).expect("folder");
     assert_eq!(
         folder.recover(2, false).expect("recover").clock_seconds,
-        clock
+        expected_seconds
     );
 }
 
-/// At the bound new turns are refused first; the ends of those that have begun
-/// are still kept, up to the whole of it; reads go on.
+/// At the memory limit the store rejects new turns first. It still stores the ends of started
+/// turns, up to the full limit, and serves reads.
 #[tokio::test]
-async fn a_full_memory_refuses_new_turns_before_the_ends_of_others() {
-    local(async {
+async fn full_memory_refuses_new_turns_before_the_ends_of_started_ones() {
+    run_local(async {
         let path = tempfile::tempdir().expect("folder");
         write_segments(path.path(), &[]);
         let limits = StoreLimits {
@@ -245,42 +248,41 @@
             append(&local_store, turn("one", "")).await,
             Reply::Stored { .. }
         ));
-        let mut taken = 0;
+        let mut reservations = 0;
         while matches!(
-            append(&local_store, reserve(taken)).await,
+            append(&local_store, reserve(reservations)).await,
             Reply::Stored { .. }
         ) {
-            taken += 1;
+            reservations += 1;
         }
         assert!(local_store.memory_bytes() < limits.state_bytes);
-        let refused = append(&local_store, reserve(taken)).await;
-        assert_eq!(refused, Reply::Refused(Refusal::MemoryFull));
+        let rejected = append(&local_store, reserve(reservations)).await;
+        assert_eq!(rejected, Reply::Refused(Refusal::MemoryFull));
         let end = append(&local_store, turn("two", "one")).await;
         assert!(matches!(end, Reply::Stored { .. }), "{end:?}");
         assert_eq!(chain(&local_store, "two").await, (2, String::new()));
-        let mut ends = 0;
+        let mut turn_ends = 0;
         while matches!(
-            append(&local_store, turn(&format!("end-{ends}"), "")).await,
+            append(&local_store, turn(&format!("end-{turn_ends}"), "")).await,
             Reply::Stored { .. }
         ) {
-            ends += 1;
+            turn_ends += 1;
         }
-        let most = limits.state_bytes + 1024;
+        let max_bytes = limits.state_bytes + 1024;
         assert!(
-            local_store.memory_bytes() <= most,
+            local_store.memory_bytes() <= max_bytes,
             "{}",
             local_store.memory_bytes()
         );
-        assert!(ends > 0);
+        assert!(turn_ends > 0);
     })
     .await;
 }
 
-/// A turn whose record can't be read back is told as a disk's refusal, never as
-/// missing.
+/// A turn whose record cannot be read is reported as a disk error, not as missing.
 #[tokio::test]
-async fn what_is_held_and_unreadable_is_not_told_as_missing() {
-    local(async {
+async fn an_unreadable_turn_is_not_reported_as_missing() {
+    run_local(async {
         let path = tempfile::tempdir().expect("folder");
         write_segments(path.path(), &[(0, &[turn("one", "")]), (1, &[])]);
         let local_store = open(path.path(), StoreLimits::default());
@@ -292,10 +294,10 @@
     .await;
 }
 
-/// No caller may set a store's clock.
+/// Clients must not be able to set the store's clock.
 #[tokio::test]
-async fn a_clock_from_outside_is_refused() {
-    local(async {
+async fn a_clock_record_from_a_client_is_refused() {
+    run_local(async {
         let path = tempfile::tempdir().expect("folder");
         write_segments(path.path(), &[]);
         let local_store = open(path.path(), StoreLimits::default());
@@ -305,10 +307,10 @@
     .await;
 }
 
-/// What waits for a disk is bounded: more is refused as by the disk itself.
+/// Records beyond the backlog limit are refused with the same error as a failing disk.
 #[tokio::test]
-async fn what_waits_for_the_disk_is_bounded() {
-    local(async {
+async fn the_disk_write_backlog_is_bounded() {
+    run_local(async {
         let path = tempfile::tempdir().expect("folder");
         write_segments(path.path(), &[]);
         let limits = StoreLimits {
@@ -328,10 +330,9 @@
     .await;
 }
 
-/// Positions of stores that are no members any more are forgotten.
 #[tokio::test]
-async fn positions_go_with_the_members() {
-    local(async {
+async fn journal_positions_of_former_members_are_dropped() {
+    run_local(async {
         let path = tempfile::tempdir().expect("folder");
         write_segments(path.path(), &[]);
         let local_store = open(path.path(), StoreLimits::default());
@@ -358,9 +359,9 @@
     .await;
 }
 
-/// The newest turns stay within their bytes; the oldest go first.
+/// The cache evicts the oldest turns first.
 #[test]
-fn recent_turns_stay_within_their_bytes() {
+fn recent_turns_stay_within_their_byte_limit() {
     let part = |number: u32| ChainPart {
         turn: Text::from(format!("turn-{number}")),
         previous: Text::default(),
@@ -377,11 +378,10 @@
     assert!(held(99) && held(92) && !held(89) && !held(0));
 }
 
-/// Contents of turns were slices of the connections' read buffers, which they kept alive:
-/// a calm soak of 130 s told of fronts whose memory rose by 212 KB a second, to 35 MB,
-/// though their recent turns counted 6 MB.
+/// Cached contents that are slices of a connection's read buffer would keep the whole buffer in
+/// memory.
 #[test]
-fn recent_turns_keep_nothing_but_their_contents() {
+fn recent_turns_do_not_retain_read_buffers() {
     let buffer = Blob::from(vec![7; 8192]);
     let slice = Blob::from(buffer.0.slice(100..400));
     let part = ChainPart {
@@ -392,10 +392,10 @@
     };
     let mut recent = RecentTurns::new(10_000);
     recent.insert(part);
-    let kept = recent.get(TurnKey::of("turn")).expect("kept");
-    let within = buffer.as_ptr_range();
-    for contents in [&kept.input, &kept.output] {
+    let cached = recent.get(TurnKey::of("turn")).expect("cached turn");
+    let buffer_range = buffer.as_ptr_range();
+    for contents in [&cached.input, &cached.output] {
         assert_eq!(contents.len(), 300);
-        assert!(!within.contains(&contents.as_ptr()));
+        assert!(!buffer_range.contains(&contents.as_ptr()));
     }
 }
--- a/crates/stageyoke-store/tests/disk_test.rs
+++ b/crates/stageyoke-store/tests/segment_test.rs
@@ -1,4 +1,4 @@
-//! The data folder: torn tails, lost content, order of segments.
+//! Recovery of the data folder after torn writes, lost files and damaged segments.
 
 use std::fs::{self, OpenOptions};
 use std::io::Write;
@@ -25,34 +25,34 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(5), ..ProptestConfig::default() })]
 
-    /// Whatever is left of a torn write, every record before it is read, and
-    /// nothing is made up.
+    /// Every record in front of the torn write is read, and bytes behind it never decode to a
+    /// new record.
     #[test]
-    fn a_torn_tail_loses_only_what_was_not_whole(
+    fn a_torn_write_loses_only_incomplete_records(
         count in 1_u32..12,
         cut in 0_usize..400,
-        noise in proptest::collection::vec(any::<u8>(), 0..40),
+        trailing_bytes in proptest::collection::vec(any::<u8>(), 0..40),
     ) {
         let records: Vec<Record> = (0..count).map(turn).collect();
         let mut bytes = Vec::new();
-        let mut ends = vec![0];
+        let mut record_ends = vec![0];
         for record in &records {
             encode_record(record, &mut bytes);
-            ends.push(bytes.len());
+            record_ends.push(bytes.len());
         }
         let cut = cut.min(bytes.len());
         bytes.truncate(cut);
-        let whole = ends.iter().filter(|end| **end > 0 && **end <= cut).count();
-        bytes.extend_from_slice(&noise);
+        let complete_records = record_ends.iter().filter(|record_end| **record_end > 0 && **record_end <= cut).count();
+        bytes.extend_from_slice(&trailing_bytes);
         let (read, _) = decode_records(&bytes);
-        prop_assert!(read.len() >= whole);
-        prop_assert_eq!(&read[..whole], &records[..whole]);
-        prop_assert!(read[whole..].iter().all(|record| records.contains(record)));
+        prop_assert!(read.len() >= complete_records);
+        prop_assert_eq!(&read[..complete_records], &records[..complete_records]);
+        prop_assert!(read[complete_records..].iter().all(|record| records.contains(record)));
     }
 }
 
 #[test]
-fn zeroed_bytes_are_damage() {
+fn zeroed_bytes_are_reported_as_damage() {
     let mut bytes = Vec::new();
     encode_record(&turn(1), &mut bytes);
     bytes.extend_from_slice(&[0; 64]);
@@ -61,23 +61,23 @@
 }
 
 #[test]
-fn only_the_first_start_makes_an_empty_disk_complete() {
+fn an_empty_disk_is_complete_only_at_the_first_start() {
     let first = tempfile::tempdir().expect("folder");
     let folder = DataFolder::open(first.path()).expect("open");
     assert_eq!(
         folder.recover(1, true).expect("recover").completeness,
         Completeness::SinceFormation
     );
-    let again = folder.recover(2, false).expect("recover");
+    let restarted = folder.recover(2, false).expect("recover");
     assert_eq!(
-        again.completeness,
+        restarted.completeness,
         Completeness::SinceFormation,
-        "a restart keeps it"
+        "a restart preserves completeness"
     );
     assert_eq!(
-        again.state.journal_end().journal,
+        restarted.state.journal_end().journal,
         2,
-        "its journal counts anew, under a name of its own"
+        "each start has its own journal"
     );
     let wiped = tempfile::tempdir().expect("folder");
     let folder = DataFolder::open(wiped.path()).expect("open");
@@ -93,30 +93,30 @@
     );
 }
 
-/// Soak seed 3967300783: a kill between the two files of the very first start
-/// left a disk that counted as incomplete for ever.
+/// Soak seed 3967300783: a kill between the writes of the first start's two files left a disk
+/// that stayed incomplete.
 #[test]
-fn a_first_start_cut_short_leaves_a_complete_disk() {
+fn a_first_start_that_was_interrupted_leaves_a_complete_disk() {
     let path = tempfile::tempdir().expect("folder");
     let folder = DataFolder::open(path.path()).expect("open");
     folder.recover(1, true).expect("recover");
-    fs::remove_file(path.path().join("identity")).expect("cut short before it");
+    fs::remove_file(path.path().join("identity")).expect("remove the identity file");
     assert_eq!(
         folder.recover(2, false).expect("recover").completeness,
         Completeness::SinceFormation
     );
     folder.create_segment(0).expect("create");
-    fs::remove_file(path.path().join("identity")).expect("lost later");
+    fs::remove_file(path.path().join("identity")).expect("remove the identity file");
     let recovered = folder.recover(3, false).expect("recover");
     assert_eq!(
         recovered.completeness,
         Completeness::Incomplete,
-        "content without an identity is damage"
+        "segments without an identity file are damage"
     );
 }
 
 #[test]
-fn segments_come_back_in_order_up_to_their_damage() {
+fn segments_are_recovered_in_order_up_to_their_damage() {
     let path = tempfile::tempdir().expect("folder");
     let folder = DataFolder::open(path.path()).expect("open");
     folder.recover(1, true).expect("recover");
@@ -149,15 +149,15 @@
     fs::remove_dir_all(path.path()).expect("remove");
 }
 
-/// A name that leads to another place, or to a device without an end, was not
-/// written by a store: it is not read, and its number is passed over.
+/// A symbolic link or folder with a segment's name was not written by a store. Reading a link
+/// to an endless device would never finish.
 #[test]
-fn what_is_no_file_of_its_own_is_no_segment() {
-    let place = tempfile::tempdir().expect("folder");
-    let folder = DataFolder::open(place.path()).expect("open");
+fn links_and_folders_are_not_read_as_segments() {
+    let path = tempfile::tempdir().expect("folder");
+    let folder = DataFolder::open(path.path()).expect("open");
     folder.create_segment(3).expect("segment");
-    std::os::unix::fs::symlink("/dev/zero", place.path().join("segment-0000000004")).expect("link");
-    fs::create_dir(place.path().join("segment-0000000005")).expect("folder");
+    std::os::unix::fs::symlink("/dev/zero", path.path().join("segment-0000000004")).expect("link");
+    fs::create_dir(path.path().join("segment-0000000005")).expect("folder");
     assert_eq!(folder.segment_numbers().expect("numbers"), [3]);
     assert!(folder.recover(1, false).is_ok());
 }
--- a/crates/stageyoke-store/tests/state_test.rs
+++ b/crates/stageyoke-store/tests/state_test.rs
@@ -1,4 +1,4 @@
-//! What a store holds in memory, and what it forgets.
+//! In-memory state of a store: turn chains, ledgers, digests and expiry.
 
 use stageyoke_directory::{DirectoryMark, GroupNumber};
 use stageyoke_store::LedgerView;
@@ -13,10 +13,10 @@
 use stageyoke_store::state::{ChainLink, StoreState};
 use stageyoke_types::{Blob, Text};
 
-const RETENTION: u32 = 60;
-const LONG_AFTER: u64 = 1_000;
+const RETENTION_SECONDS: u32 = 60;
+const AFTER_RETENTION_SECONDS: u64 = 1_000;
 
-const VOUCHING: PeerStatus = PeerStatus {
+const COMPLETE_PEER: PeerStatus = PeerStatus {
     complete: true,
     members_version: 1,
 };
@@ -29,23 +29,23 @@
         input: Blob::from(format!("ask {name}\n").into_bytes()),
         output: Blob::from(format!("say {name}\n").into_bytes()),
         used_tokens: 10,
-        retention_seconds: RETENTION,
+        retention_seconds: RETENTION_SECONDS,
     })
 }
 
-fn reserve(turn: &str, most: u32) -> Record {
+fn reserve(turn: &str, max_tokens: u32) -> Record {
     Record::Reserve {
         program: Text::from("program"),
         turn: Text::from(turn),
-        max_tokens: most,
+        max_tokens,
     }
 }
 
-fn settle(turn: &str, used: u32) -> Record {
+fn settle(turn: &str, used_tokens: u32) -> Record {
     Record::Settle {
         program: Text::from("program"),
         turn: Text::from(turn),
-        used_tokens: used,
+        used_tokens,
     }
 }
 
@@ -53,7 +53,7 @@
     let steps = state.chain(&Text::from(turn));
     let parts = steps.iter().map(|step| match step {
         ChainLink::Cached(part) => part,
-        ChainLink::OnDisk(place) => panic!("{place:?} is among the newest"),
+        ChainLink::OnDisk(location) => panic!("{location:?} is not cached"),
     });
     let parts: Vec<_> = parts.collect();
     let missing = parts.last().map_or(turn, |part| part.previous.as_str());
@@ -61,8 +61,8 @@
     (turns, missing.to_owned())
 }
 
-/// A place told apart by its number.
-fn place(number: u32) -> RecordLocation {
+/// Returns a record location that differs by its offset.
+fn location(number: u32) -> RecordLocation {
     RecordLocation {
         segment: 1,
         offset: number,
@@ -71,11 +71,11 @@
 }
 
 #[test]
-fn a_chain_is_read_backwards_to_its_start_or_to_what_is_missing() {
+fn a_chain_is_read_back_to_its_start_or_to_a_missing_turn() {
     let mut state = StoreState::new(1);
-    state.add(&turn("one", ""), place(0), 0);
-    state.add(&turn("two", "one"), place(0), 0);
-    state.add(&turn("four", "three"), place(0), 0);
+    state.add(&turn("one", ""), location(0), 0);
+    state.add(&turn("two", "one"), location(0), 0);
+    state.add(&turn("four", "three"), location(0), 0);
     assert_eq!(
         chain(&state, "two"),
         (vec!["two".into(), "one".into()], String::new())
@@ -87,10 +87,10 @@
 #[test]
 fn a_settlement_replaces_its_reservation_in_any_order() {
     let mut state = StoreState::new(1);
-    state.add(&reserve("a", 100), place(0), 0);
-    state.add(&settle("a", 30), place(0), 0);
-    state.add(&settle("b", 20), place(0), 0);
-    state.add(&reserve("b", 100), place(0), 0);
+    state.add(&reserve("a", 100), location(0), 0);
+    state.add(&settle("a", 30), location(0), 0);
+    state.add(&settle("b", 20), location(0), 0);
+    state.add(&reserve("b", 100), location(0), 0);
     let entries = state.ledger_entries("program");
     let amounts: Vec<(u32, bool)> = entries
         .iter()
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn merged_ledgers_take_settlements_from_whoever_has_them() {
+fn merged_ledgers_prefer_settlements_over_reservations() {
     let entry = |turn: &str, amount, settled| LedgerEntry {
         turn: TurnKey::of(turn).0,
         amount,
@@ -118,14 +118,14 @@
 }
 
 #[test]
-fn digests_lead_to_the_records_that_another_store_misses() {
+fn digests_identify_the_records_that_another_store_lacks() {
     let mut from = StoreState::new(1);
     let mut to = StoreState::new(2);
     let records = [turn("one", ""), reserve("r", 9), settle("s", 3)];
     for (number, record) in (0..).zip(&records) {
-        from.add(record, place(number), 0);
+        from.add(record, location(number), 0);
     }
-    to.add(&records[1], place(0), 0);
+    to.add(&records[1], location(0), 0);
     let Reply::Digests {
         digests,
         next,
@@ -133,11 +133,11 @@
         ..
     } = from.digests_reply(
         JournalPosition::default(),
-        VOUCHING,
+        COMPLETE_PEER,
         DirectoryMark::default(),
     )
     else {
-        panic!("digests");
+        panic!("expected digests");
     };
     assert!(!more);
     assert_eq!(next, from.journal_end());
@@ -146,45 +146,44 @@
         .copied()
         .filter(|digest| !to.holds(*digest))
         .collect();
-    assert_eq!(from.locations(&missing), [place(0), place(2)]);
+    assert_eq!(from.locations(&missing), [location(0), location(2)]);
     let Reply::Digests { digests, .. } =
-        from.digests_reply(next, VOUCHING, DirectoryMark::default())
+        from.digests_reply(next, COMPLETE_PEER, DirectoryMark::default())
     else {
-        panic!("digests");
+        panic!("expected digests");
     };
     assert!(digests.is_empty(), "nothing new after the end");
 }
 
 #[test]
-fn a_position_in_another_journal_starts_anew() {
+fn a_position_in_another_journal_restarts_the_comparison() {
     let mut state = StoreState::new(8);
-    state.add(&turn("one", ""), place(0), 0);
-    let elsewhere = JournalPosition {
+    state.add(&turn("one", ""), location(0), 0);
+    let position = JournalPosition {
         journal: 9,
         next: 1,
     };
     let Reply::Digests { digests, .. } =
-        state.digests_reply(elsewhere, VOUCHING, DirectoryMark::default())
+        state.digests_reply(position, COMPLETE_PEER, DirectoryMark::default())
     else {
-        panic!("digests");
+        panic!("expected digests");
     };
     assert_eq!(digests.len(), 1);
 }
 
 #[test]
-fn a_chain_is_kept_as_long_as_its_youngest_turn() {
+fn a_chain_is_retained_as_long_as_its_youngest_turn() {
     let mut state = StoreState::new(1);
-    state.add(&turn("one", ""), place(0), 0);
-    state.add(&turn("old", ""), place(0), 0);
-    state.add(&turn("two", "one"), place(0), LONG_AFTER);
-    let again = state.expire(vec![turn("one", ""), turn("old", "")], LONG_AFTER);
-    assert_eq!(
-        again,
-        [turn("one", "")],
-        "written again, for its successor's sake"
+    state.add(&turn("one", ""), location(0), 0);
+    state.add(&turn("old", ""), location(0), 0);
+    state.add(&turn("two", "one"), location(0), AFTER_RETENTION_SECONDS);
+    let rewritten = state.expire(
+        vec![turn("one", ""), turn("old", "")],
+        AFTER_RETENTION_SECONDS,
     );
-    for record in &again {
-        state.add(record, place(0), LONG_AFTER);
+    assert_eq!(rewritten, [turn("one", "")], "a younger turn continues it");
+    for record in &rewritten {
+        state.add(record, location(0), AFTER_RETENTION_SECONDS);
     }
     assert_eq!(
         chain(&state, "two"),
@@ -193,9 +192,9 @@
     assert_eq!(chain(&state, "old"), (vec![], "old".into()));
 }
 
-/// What is encoded once for all members is what each would have got.
+/// Requests to several members share one encoded content.
 #[test]
-fn a_frame_of_encoded_content_is_the_frame_of_the_message() {
+fn content_encoded_once_gives_the_same_frame_as_the_message() {
     let content = Request::Append {
         group: GroupNumber(0),
         members_version: 3,
@@ -206,7 +205,7 @@
     let encoded = EncodedMessage::encode(&content);
     for number in [0, 1, u64::MAX] {
         let content = content.clone();
-        let whole = frame::encode(&Numbered { number, content });
-        assert_eq!(encoded.frame(number, &ExtensionFields::default()), whole);
+        let expected = frame::encode(&Numbered { number, content });
+        assert_eq!(encoded.frame(number, &ExtensionFields::default()), expected);
     }
 }
--- a/crates/stageyoke-store/tests/support/mod.rs
+++ b/crates/stageyoke-store/tests/support/mod.rs
@@ -1,9 +1,9 @@
-//! Records that the tests of stores share.
+//! Records shared by the store tests.
 
 use stageyoke_store::message::{Record, TurnRecord};
 use stageyoke_types::{Blob, Text};
 
-/// A turn of one program, kept for 60 s.
+/// Returns a turn record that is retained for 60 s.
 pub fn turn(name: &str, previous: &str) -> Record {
     Record::Turn(TurnRecord {
         turn: Text::from(name),
--- a/crates/stageyoke-store/tests/versions_test.rs
+++ b/crates/stageyoke-store/tests/version_compatibility_test.rs
@@ -1,5 +1,5 @@
-//! Builds side by side: what is new travels behind messages that older builds read as
-//! they always did, and only to peers that have told that they read it.
+//! Compatibility of builds that run side by side: new fields follow messages that older builds
+//! still read, and go only to peers that announced support.
 
 use std::future::Future;
 
@@ -16,11 +16,11 @@
 use tokio::task::LocalSet;
 use tokio::time::Duration;
 
-const WITHIN: Duration = Duration::from_secs(2);
-/// A tag that no build has used.
-const LATER_TAG: u8 = 250;
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// A field tag that no build uses.
+const UNKNOWN_TAG: u8 = 250;
 
-async fn local(run: impl Future<Output = ()>) {
+async fn run_local(run: impl Future<Output = ()>) {
     LocalSet::new().run_until(run).await;
 }
 
@@ -31,27 +31,27 @@
     }
 }
 
-/// A frame with a field that a later build has added.
-fn frame_of_a_later_build() -> Vec<u8> {
+/// Encodes a frame with a field of a later build.
+fn frame_with_unknown_field() -> Vec<u8> {
     let mut bytes = frame::encode_with_fields(&ping(7), &ExtensionFields::greeting());
-    bytes.extend_from_slice(&[LATER_TAG, 3, 1, 2, 3]);
+    bytes.extend_from_slice(&[UNKNOWN_TAG, 3, 1, 2, 3]);
     let length = (bytes.len() - 4) as u32;
     bytes[..4].copy_from_slice(&length.to_le_bytes());
     bytes
 }
 
 #[tokio::test]
-async fn a_reader_of_version_one_leaves_what_stands_behind_a_message() {
-    let bytes = frame_of_a_later_build();
+async fn a_version_one_reader_skips_the_fields_behind_a_message() {
+    let bytes = frame_with_unknown_field();
     let mut stream = bytes.as_slice();
     let read: Numbered<Request> = frame::read(&mut stream).await.expect("read");
     assert_eq!(read, ping(7));
-    assert!(stream.is_empty(), "the next frame begins behind the fields");
+    assert!(stream.is_empty(), "the next frame starts after the fields");
 }
 
 #[tokio::test]
-async fn a_reader_skips_fields_that_it_does_not_know() {
-    let bytes = frame_of_a_later_build();
+async fn a_reader_skips_unknown_fields() {
+    let bytes = frame_with_unknown_field();
     let received: Received<Request> = frame::read_with_fields(&mut bytes.as_slice())
         .await
         .expect("read");
@@ -60,7 +60,7 @@
 }
 
 #[tokio::test]
-async fn a_message_of_version_one_has_no_fields() {
+async fn a_version_one_message_has_no_fields() {
     let bytes = frame::encode(&ping(7));
     let received: Received<Request> = frame::read_with_fields(&mut bytes.as_slice())
         .await
@@ -68,103 +68,107 @@
     assert_eq!(received.extension_fields, ExtensionFields::default());
 }
 
-/// A store that answers pings: one of version 1 never tells a version.
-async fn answer_pings(listener: TcpListener, tells_version: bool) -> Vec<ExtensionFields> {
+/// Answers pings and returns the fields received. A store of version 1 never sends a version.
+async fn answer_pings(listener: TcpListener, sends_version: bool) -> Vec<ExtensionFields> {
     let (stream, _) = listener.accept().await.expect("accept");
     let (mut reader, mut writer) = stream.into_split();
-    let mut heard = Vec::new();
+    let mut received_fields = Vec::new();
     while let Ok(received) = frame::read_with_fields::<Request>(&mut reader).await {
         let reply = Numbered {
             number: received.message.number,
             content: Reply::Pong,
         };
-        let extensions = match tells_version && heard.is_empty() {
+        let extensions = match sends_version && received_fields.is_empty() {
             true => ExtensionFields::greeting(),
             false => ExtensionFields::default(),
         };
-        heard.push(received.extension_fields);
+        received_fields.push(received.extension_fields);
         let bytes = frame::encode_with_fields(&reply, &extensions);
         writer.write_all(&bytes).await.expect("write");
     }
-    heard
+    received_fields
 }
 
 #[rstest]
-#[case::of_version_one(false)]
-#[case::of_this_version(true)]
+#[case::version_one_store(false)]
+#[case::current_store(true)]
 #[tokio::test]
-async fn a_client_tells_its_version_once_a_connection(#[case] tells_version: bool) {
-    local(async {
+async fn a_client_sends_its_version_once_per_connection(#[case] sends_version: bool) {
+    run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address").to_string();
-        let store = tokio::task::spawn_local(answer_pings(listener, tells_version));
+        let store = tokio::task::spawn_local(answer_pings(listener, sends_version));
         let client = StoreClient::new(&address);
         for _ in 0..3 {
-            let reply = client.call(Request::Ping, WITHIN).await;
+            let reply = client.call(Request::Ping, CALL_TIMEOUT).await;
             assert_eq!(reply, Ok(Reply::Pong));
         }
         drop(client);
-        let heard = store.await.expect("store");
-        let told: Vec<_> = heard.iter().map(|extensions| extensions.version).collect();
-        assert_eq!(told, [Some(VERSION), None, None]);
+        let received_fields = store.await.expect("store");
+        let versions: Vec<_> = received_fields
+            .iter()
+            .map(|extensions| extensions.version)
+            .collect();
+        assert_eq!(versions, [Some(VERSION), None, None]);
     })
     .await;
 }
 
-/// A peer whose bytes can't be read ends the connection, and what waits there hears it.
+/// The client closes the connection and fails the pending call.
 #[tokio::test]
-async fn unreadable_fields_end_the_connection() {
-    local(async {
+async fn unreadable_fields_close_the_connection() {
+    run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address").to_string();
         tokio::task::spawn_local(async move {
             let (mut stream, _) = listener.accept().await.expect("accept");
-            let asked: Numbered<Request> = frame::read(&mut stream).await.expect("read");
+            let request: Numbered<Request> = frame::read(&mut stream).await.expect("read");
             let reply = Numbered {
-                number: asked.number,
+                number: request.number,
                 content: Reply::Pong,
             };
             let mut bytes = frame::encode(&reply);
-            // A field that says it is longer than the frame.
-            bytes.extend_from_slice(&[LATER_TAG, 100]);
+            // A field with a length beyond the end of the frame.
+            bytes.extend_from_slice(&[UNKNOWN_TAG, 100]);
             let length = (bytes.len() - 4) as u32;
             bytes[..4].copy_from_slice(&length.to_le_bytes());
             stream.write_all(&bytes).await.expect("write");
-            let mut rest = Vec::new();
-            let _ = stream.read_to_end(&mut rest).await;
+            let mut remaining = Vec::new();
+            let _ = stream.read_to_end(&mut remaining).await;
         });
         let client = StoreClient::new(&address);
-        let reply = client.call(Request::Ping, WITHIN).await;
+        let reply = client.call(Request::Ping, CALL_TIMEOUT).await;
         assert_eq!(reply, Err(CallError::NoAnswer));
     })
     .await;
 }
 
 proptest! {
-    /// Whatever stands behind a message, reading it neither panics nor takes memory for a
-    /// length that is only told.
+    /// Decoding must not allocate memory for a length that is only claimed.
     #[test]
-    fn any_bytes_behind_a_message_are_read_or_refused(
-        behind in proptest::collection::vec(any::<u8>(), 0..64),
+    fn decoding_arbitrary_fields_does_not_panic(
+        bytes in proptest::collection::vec(any::<u8>(), 0..64),
     ) {
-        let _ = ExtensionFields::decode(0, &behind);
+        let _ = ExtensionFields::decode(0, &bytes);
     }
 }
 
-/// The frame that goes to several connections is the one that `encode_extended` makes.
+/// A frame shared by several connections equals the one of `encode_with_fields`.
 #[test]
-fn both_ways_of_encoding_make_the_same_frame() {
+fn both_encoders_produce_the_same_frame() {
     let message = ping(9);
     let extensions = ExtensionFields::greeting();
-    let once = EncodedMessage::encode(&message.content).frame(message.number, &extensions);
-    assert_eq!(once, frame::encode_with_fields(&message, &extensions));
+    let encoded_once = EncodedMessage::encode(&message.content).frame(message.number, &extensions);
+    assert_eq!(
+        encoded_once,
+        frame::encode_with_fields(&message, &extensions)
+    );
 }
 
-/// A front of version 1 that asks a store of this build gets the bytes that it got
-/// before.
+/// A front of version 1 must receive exactly the bytes of version 1.
 #[tokio::test]
-async fn a_peer_that_tells_no_version_is_answered_as_before() {
-    local(async {
+async fn a_peer_that_sends_no_version_receives_version_one_replies() {
+    run_local(async {
         let folder = tempfile::tempdir().expect("folder");
         let data = stageyoke_store::segment::DataFolder::open(folder.path()).expect("open");
         let recovered = data.recover(1, true).expect("recover");
@@ -174,7 +178,7 @@
             recovered,
             stageyoke_store::StoreLimits::for_memory(64 << 20),
         )
-        .expect("keeper");
+        .expect("local store");
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
         tokio::task::spawn_local(stageyoke_store::server::serve(local_store.into(), listener));
@@ -182,18 +186,18 @@
             number: 7,
             content: Reply::Pong,
         };
-        let plain = answer_to(&frame::encode(&ping(7)), address).await;
+        let plain = exchange_frames(&frame::encode(&ping(7)), address).await;
         assert_eq!(plain, frame::encode(&pong));
         let greeted = frame::encode_with_fields(&ping(7), &ExtensionFields::greeting());
-        let greeting = answer_to(&greeted, address).await;
+        let greeting = exchange_frames(&greeted, address).await;
         let expected = frame::encode_with_fields(&pong, &ExtensionFields::greeting());
         assert_eq!(greeting, expected);
     })
     .await;
 }
 
-/// The bytes of the one frame with which a store answers this one.
-async fn answer_to(request: &[u8], address: std::net::SocketAddr) -> Vec<u8> {
+/// Sends one frame and returns the bytes of the frame that answers it.
+async fn exchange_frames(request: &[u8], address: std::net::SocketAddr) -> Vec<u8> {
     let mut stream = TcpStream::connect(address).await.expect("connect");
     stream.write_all(request).await.expect("write");
     let mut frame = vec![0; 4];
@@ -205,9 +209,9 @@
     frame
 }
 
-/// What the fields add to a frame, in bytes: a front tells its ranks with each record.
+/// Fronts send these fields with each record.
 #[test]
-fn fields_cost_few_bytes() {
+fn encoded_fields_are_small() {
     let size = |fields: &ExtensionFields| {
         let mut bytes = Vec::new();
         fields.encode(&mut bytes);
@@ -236,9 +240,8 @@
     assert_eq!(size(&sixty_engines), 364);
 }
 
-/// All fields together are read as they were written.
 #[test]
-fn what_is_written_is_read() {
+fn encoded_fields_are_decoded_unchanged() {
     let fields = ExtensionFields {
         version: Some(VERSION),
         rank_loads: Some(List(vec![RankLoad {
--- a/crates/stageyoke-store/tests/version_one/samples.rs
+++ b/crates/stageyoke-store/tests/version_one/samples.rs
@@ -1,4 +1,4 @@
-//! One value of every frozen message, record, file and entry, with a name each.
+//! Sample values of every frozen message, record, file and entry, each with a name.
 
 use nanoserde::SerBin;
 use stageyoke_directory::{DirectoryMark, GroupNumber, Member, MemberState, Members, StoreGroups};
@@ -13,7 +13,7 @@
 use stageyoke_store::segment;
 use stageyoke_types::{Blob, List, Text};
 
-/// A value's name and its bytes.
+/// A named value in its encoded form.
 pub struct Sample {
     pub name: String,
     pub bytes: Vec<u8>,
@@ -26,7 +26,7 @@
     }
 }
 
-/// All of them, in a fixed order.
+/// Returns all samples in the order of the golden file.
 pub fn all() -> Vec<Sample> {
     let mut samples = Vec::new();
     for request in requests() {
@@ -47,9 +47,9 @@
             &refusal,
         ));
     }
-    samples.push(sample("entry of the store groups", &stores()));
+    samples.push(sample("entry of the store groups", &store_groups()));
     samples.push(sample("entry of a registration", &member(1)));
-    samples.push(sample("file of the items", &List(vec![item()])));
+    samples.push(sample("file of the items", &List(vec![directory_item()])));
     samples.push(Sample {
         name: "frame of a request".to_owned(),
         bytes: frame::encode(&Numbered {
@@ -59,14 +59,14 @@
     });
     samples.push(Sample {
         name: "record in a segment".to_owned(),
-        bytes: in_segment(),
+        bytes: segment_bytes(),
     });
-    samples.extend(computed());
+    samples.extend(derived_samples());
     samples
 }
 
-/// What builds work out alike, each for itself.
-fn computed() -> Vec<Sample> {
+/// Returns keys, group numbers and digests, which every build must compute alike.
+fn derived_samples() -> Vec<Sample> {
     let TurnKey(turn) = TurnKey::of("turn-1");
     let ProgramKey(program) = ProgramKey::of("program-1");
     let groups = StoreGroups {
@@ -89,7 +89,7 @@
     samples
 }
 
-fn in_segment() -> Vec<u8> {
+fn segment_bytes() -> Vec<u8> {
     let mut bytes = Vec::new();
     segment::encode_clock(11, &mut bytes);
     for record in records() {
@@ -103,7 +103,7 @@
         Request::Append {
             group: GroupNumber(1),
             members_version: 4,
-            load: load(),
+            load: load_report(),
             placement: Some(placement()),
             record: reserve(),
         },
@@ -116,20 +116,20 @@
             group: GroupNumber(1),
             members_version: 4,
             node: Text::from("store-1"),
-            from: position(5),
-            held: position(6),
+            from: journal_position(5),
+            held: journal_position(6),
         },
-        Request::NewerStoreGroups(stores()),
+        Request::NewerStoreGroups(store_groups()),
         Request::TurnPlaced {
             turn: 12,
             placement: placement(),
         },
         Request::TurnEnded { turn: 12 },
-        Request::Quota(question()),
-        Request::QuotaGranted(question()),
+        Request::Quota(quota_request()),
+        Request::QuotaGranted(quota_request()),
         Request::QuotaRefund {
             tenant: 13,
-            receipt: receipt(),
+            receipt: quota_receipt(),
         },
         Request::Ping,
         Request::Items,
@@ -143,9 +143,9 @@
     ]
 }
 
-/// The name of a frozen request. Do not add to this list: a build before yours ends
-/// the connection at a variant that it doesn't know. What is new travels in a field
-/// behind a frozen message (`extension.rs`, `docs/design/versions.md`).
+/// Returns the golden name of a frozen request. Do not add to this list: earlier builds close
+/// the connection at an unknown variant. New data goes into a field behind a frozen message
+/// (`extension.rs`, `docs/design/versions.md`).
 pub fn request_name(request: &Request) -> &'static str {
     match request {
         Request::Append { .. } => "append",
@@ -176,20 +176,20 @@
                 amount: 18,
                 settled: true,
             }]),
-            other_fronts: others(),
-            directory: directory(),
+            other_fronts: other_fronts_report(),
+            directory: directory_mark(),
         },
         Reply::Chain {
             complete: true,
-            parts: List(vec![part()]),
+            parts: List(vec![chain_part()]),
             missing: Text::from("turn-0"),
         },
         Reply::Digests {
-            next: position(8),
+            next: journal_position(8),
             more: true,
             complete: false,
             members_version: 4,
-            directory: directory(),
+            directory: directory_mark(),
             silent: List(vec![SilentPeer {
                 node: Text::from("store-2"),
                 silent_milliseconds: 900,
@@ -201,22 +201,25 @@
             granted: false,
             retry_after_milliseconds: 250,
             fronts: 73,
-            receipt: receipt(),
+            receipt: quota_receipt(),
         }),
         Reply::Pong,
-        Reply::Items(List(vec![item()])),
+        Reply::Items(List(vec![directory_item()])),
         Reply::Changes {
             known: true,
-            changes: List(vec![change(Some("value")), change(None)]),
-            mark: mark(),
+            changes: List(vec![
+                directory_change(Some("value")),
+                directory_change(None),
+            ]),
+            mark: copy_freshness(),
         },
         Reply::Routes {
-            item: item(),
+            item: directory_item(),
             age_milliseconds: 30,
         },
         Reply::Directory {
-            items: List(vec![item()]),
-            mark: mark(),
+            items: List(vec![directory_item()]),
+            mark: copy_freshness(),
         },
         Reply::DirectoryUnknown,
         Reply::Stores(List(vec![Text::from("10.0.0.1:7000")])),
@@ -225,12 +228,12 @@
             records: List(records()),
             expired: List(vec![20]),
         },
-        Reply::StaleMembers(stores()),
+        Reply::StaleMembers(store_groups()),
         Reply::Refused(Refusal::NotAMember),
     ]
 }
 
-/// The name of a frozen reply; see `request_name`.
+/// Returns the golden name of a frozen reply; see `request_name`.
 pub fn reply_name(reply: &Reply) -> &'static str {
     match reply {
         Reply::Stored { .. } => "kept",
@@ -271,8 +274,8 @@
     ]
 }
 
-/// The name of a frozen record. Do not add to this list: a build before yours takes a
-/// variant that it doesn't know for damage and reads nothing behind it.
+/// Returns the golden name of a frozen record. Do not add to this list: earlier builds take an
+/// unknown variant for damage and read nothing after it.
 pub fn record_name(record: &Record) -> &'static str {
     match record {
         Record::Reserve { .. } => "reserve",
@@ -290,7 +293,7 @@
     ]
 }
 
-/// The name of a frozen refusal; see `request_name`.
+/// Returns the golden name of a frozen refusal; see `request_name`.
 fn refusal_name(refusal: Refusal) -> &'static str {
     match refusal {
         Refusal::NotAMember => "not a member",
@@ -307,7 +310,7 @@
     }
 }
 
-fn load() -> LoadReport {
+fn load_report() -> LoadReport {
     LoadReport {
         front: 23,
         entries: List(vec![LoadEntry {
@@ -323,7 +326,7 @@
     }
 }
 
-fn others() -> OtherFrontsReport {
+fn other_fronts_report() -> OtherFrontsReport {
     OtherFrontsReport {
         entries: List(vec![LoadEntry {
             replica: 24,
@@ -351,7 +354,7 @@
     }
 }
 
-fn question() -> QuotaRequest {
+fn quota_request() -> QuotaRequest {
     QuotaRequest {
         tenant: 13,
         program: 28,
@@ -363,7 +366,7 @@
     }
 }
 
-fn receipt() -> QuotaReceipt {
+fn quota_receipt() -> QuotaReceipt {
     QuotaReceipt {
         slot: 29,
         version: 6,
@@ -371,18 +374,18 @@
     }
 }
 
-fn position(next: u64) -> JournalPosition {
+fn journal_position(next: u64) -> JournalPosition {
     JournalPosition { journal: 19, next }
 }
 
-fn directory() -> DirectoryMark {
+fn directory_mark() -> DirectoryMark {
     DirectoryMark {
         last_change: 31,
         age_milliseconds: 32,
     }
 }
 
-fn mark() -> CopyFreshness {
+fn copy_freshness() -> CopyFreshness {
     CopyFreshness {
         revision: 33,
         age_milliseconds: 34,
@@ -390,7 +393,7 @@
     }
 }
 
-fn item() -> DirectoryItem {
+fn directory_item() -> DirectoryItem {
     DirectoryItem {
         key: Text::from("op/config"),
         value: Blob::from(b"{}".to_vec()),
@@ -398,7 +401,7 @@
     }
 }
 
-fn change(value: Option<&str>) -> DirectoryChange {
+fn directory_change(value: Option<&str>) -> DirectoryChange {
     DirectoryChange {
         key: Text::from("servers/a"),
         value: value.map(|value| Blob::from(value.as_bytes().to_vec())),
@@ -406,7 +409,7 @@
     }
 }
 
-fn part() -> ChainPart {
+fn chain_part() -> ChainPart {
     ChainPart {
         turn: Text::from("turn-1"),
         previous: Text::from("turn-0"),
@@ -428,7 +431,7 @@
     }
 }
 
-pub fn stores() -> StoreGroups {
+pub fn store_groups() -> StoreGroups {
     StoreGroups {
         version: 39,
         groups: List(vec![Members {
--- a/crates/stageyoke-store/tests/version_one_test.rs
+++ b/crates/stageyoke-store/tests/version_one_test.rs
@@ -1,5 +1,5 @@
-//! The frozen formats: what one build writes, others read. Machines are replaced one
-//! after the other, so that builds run side by side, and disks outlive them.
+//! Golden test of the frozen formats. Machines are upgraded one by one, so builds must read
+//! each other's messages and disks.
 
 #[path = "version_one/samples.rs"]
 mod samples;
@@ -8,15 +8,15 @@
 
 use samples::Sample;
 
-/// Written by the build that version 1 was frozen from.
-const VERSION_ONE: &str = include_str!("version_one/golden.txt");
+/// Encoded by the build that version 1 was frozen from.
+const GOLDEN_LINES: &str = include_str!("version_one/golden.txt");
 
-const HOW_TO_GO_ON: &str = "a frozen format changed: builds that run beside this one, or \
-    started on its disks, could not read it. Take the change back, and send what is new in a \
+const FORMAT_CHANGE_HELP: &str = "a frozen format changed: other builds that run beside this one, \
+    or start on its disks, could not read it. Revert the change and send new data in a \
     field behind the message (crates/stageyoke-store/src/extension.rs, \
     docs/design/versions.md)";
 
-fn line(sample: &Sample) -> String {
+fn golden_line(sample: &Sample) -> String {
     let bytes: String = sample
         .bytes
         .iter()
@@ -26,13 +26,13 @@
 }
 
 #[test]
-fn what_is_written_is_version_one_to_the_byte() {
-    let written: Vec<String> = samples::all().iter().map(line).collect();
-    let golden: Vec<&str> = VERSION_ONE.lines().collect();
-    for (written, golden) in written.iter().zip(&golden) {
-        assert_eq!(written, golden, "{HOW_TO_GO_ON}");
+fn encoded_bytes_match_version_one() {
+    let encoded: Vec<String> = samples::all().iter().map(golden_line).collect();
+    let golden: Vec<&str> = GOLDEN_LINES.lines().collect();
+    for (encoded, golden) in encoded.iter().zip(&golden) {
+        assert_eq!(encoded, golden, "{FORMAT_CHANGE_HELP}");
     }
-    assert_eq!(written.len(), golden.len(), "{HOW_TO_GO_ON}");
+    assert_eq!(encoded.len(), golden.len(), "{FORMAT_CHANGE_HELP}");
 }
 
 #[test]
@@ -48,11 +48,11 @@
     assert_eq!(names.len(), records.len());
 }
 
-/// Prints the golden lines; only to be run on the build that a version is frozen from.
+/// Prints the golden lines. Run it only on the build that a version is frozen from.
 #[test]
-#[ignore = "writes the golden lines of a new version"]
+#[ignore = "prints the golden lines of a new version"]
 fn print_golden_lines() {
     for sample in samples::all() {
-        println!("golden {}", line(&sample));
+        println!("golden {}", golden_line(&sample));
     }
 }
