--- a/crates/stageyoke-store/tests/engine_latency_test.rs
+++ b/crates/stageyoke-store/tests/engine_latency_test.rs
@@ -15,8 +15,8 @@
 /// Interval between two turns of one front.
 const TURN_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Returns the latency of an engine's hardware generation as a factor of the median engine's.
-fn hardware_latency_factor(engine: u32) -> f64 {
+/// Returns an engine's normal latency as a factor of the median engine's.
+fn normal_latency_factor(engine: u32) -> f64 {
     [0.6, 1.0, 1.6][engine as usize % 3]
 }
 
@@ -24,7 +24,7 @@
     f64::from(random.next_u32()) / f64::from(u32::MAX)
 }
 
-/// Reports one turn in the name of a front.
+/// Reports one turn on behalf of a front.
 fn report_turn(reports: &EngineReports, engine: u32, ratio: f64) {
     let tracker = EngineTracker::default();
     tracker.enable_reports();
@@ -53,7 +53,7 @@
     }
 }
 
-fn received_deviations(reports: &EngineReports, front: u32) -> EngineTracker {
+fn tracker_with_report(reports: &EngineReports, front: u32) -> EngineTracker {
     let tracker = EngineTracker::default();
     let deviations = reports.deviations_for(front).expect("due");
     tracker.apply_report(&deviations);
@@ -66,14 +66,11 @@
 async fn combined_reports_reveal_the_latency_of_each_engine() {
     let reports = EngineReports::default();
     let mut random = ChaCha8Rng::seed_from_u64(5);
-    run_turns(&reports, &mut random, 20, hardware_latency_factor).await;
-    let tracker = received_deviations(&reports, 1);
+    run_turns(&reports, &mut random, 20, normal_latency_factor).await;
+    let tracker = tracker_with_report(&reports, 1);
     let reported = (0..ENGINES).filter_map(|engine| Some((engine, tracker.slowdown(engine)?)));
     let accurate = reported.filter(|(engine, latency_factor)| {
-        (latency_factor / hardware_latency_factor(*engine))
-            .ln()
-            .abs()
-            < 0.4
+        (latency_factor / normal_latency_factor(*engine)).ln().abs() < 0.4
     });
     assert!(
         accurate.count() >= 50,
@@ -89,13 +86,13 @@
     run_turns(&reports, &mut random, 20, |_| 1.0).await;
     let slowed_engine = |engine| if engine == 7 { 4.0 } else { 1.0 };
     run_turns(&reports, &mut random, 13, slowed_engine).await;
-    let latency_factor = received_deviations(&reports, 1).slowdown(7);
+    let latency_factor = tracker_with_report(&reports, 1).slowdown(7);
     assert!(
         latency_factor.is_some_and(|factor| factor > 2.0),
         "{latency_factor:?}"
     );
     run_turns(&reports, &mut random, 20, |_| 1.0).await;
-    let latency_factor = received_deviations(&reports, 1).slowdown(7);
+    let latency_factor = tracker_with_report(&reports, 1).slowdown(7);
     assert!(
         latency_factor.is_none_or(|factor| factor < 1.5),
         "{latency_factor:?}"
--- a/crates/stageyoke-store/tests/limits_test.rs
+++ b/crates/stageyoke-store/tests/limits_test.rs
@@ -44,13 +44,17 @@
 }
 
 fn open(path: &Path, limits: StoreLimits) -> Rc<LocalStore> {
-    open_with_disk_id(path, limits, 2)
+    open_with_journal_identifier(path, limits, 2)
 }
 
-/// Opens the store as a process start that draws `disk_id` for the disk.
-fn open_with_disk_id(path: &Path, limits: StoreLimits, disk_id: u64) -> Rc<LocalStore> {
+/// Opens the store with `journal_identifier` for its new journal.
+fn open_with_journal_identifier(
+    path: &Path,
+    limits: StoreLimits,
+    journal_identifier: u64,
+) -> Rc<LocalStore> {
     let folder = DataFolder::open(path).expect("folder");
-    let recovered = folder.recover(disk_id, false).expect("recover");
+    let recovered = folder.recover(journal_identifier, false).expect("recover");
     let node = Text::from(NODE);
     let (local_store, results) =
         LocalStore::open(node, folder, recovered, limits).expect("threads");
@@ -150,7 +154,7 @@
     }
 }
 
-/// Guards against a restarted store that reuses its journal's name and counts from zero: a peer
+/// Guards against a restarted store that reuses its journal identifier and counts from zero: a peer
 /// then asked from a position past the new end and missed records.
 #[tokio::test]
 async fn a_peer_receives_digests_of_records_written_after_a_restart() {
@@ -168,7 +172,7 @@
         while folder.segment_numbers().expect("numbers").contains(&0) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        let restarted = open_with_disk_id(path.path(), StoreLimits::default(), 3);
+        let restarted = open_with_journal_identifier(path.path(), StoreLimits::default(), 3);
         append(&restarted, turn("written", "")).await;
         let (digests, _) = digests_from(&restarted, compared_position).await;
         assert!(digests.contains(&turn("written", "").digest()));
--- a/crates/stageyoke-store/tests/quota_owners_test.rs
+++ b/crates/stageyoke-store/tests/quota_owners_test.rs
@@ -37,7 +37,7 @@
 struct QuotaStore {
     ledger: RefCell<QuotaLedger>,
     quota_requests: Cell<usize>,
-    reported_grants: Cell<usize>,
+    received_grants: Cell<usize>,
     silent: Cell<bool>,
     /// Handles requests as if the process had just started.
     just_started: Cell<bool>,
@@ -71,7 +71,7 @@
                 (!self.silent.get()).then_some(Reply::Quota(reply))
             }
             Request::QuotaGranted(grant) => {
-                self.reported_grants.set(self.reported_grants.get() + 1);
+                self.received_grants.set(self.received_grants.get() + 1);
                 self.ledger.borrow_mut().count(&grant.validated()?, now);
                 Some(Reply::Pong)
             }
@@ -138,13 +138,13 @@
         stores.insert(member.node.clone(), store);
         members = members.with_member(member);
     }
-    let map = StoreGroups::single(members);
+    let store_groups = StoreGroups::single(members);
     let tolerance = Tolerance::of_machines(machines);
     let owners = QuotaOwners::with_tolerance(tolerance.clone());
-    owners.update_stores(&map);
+    owners.update_stores(&store_groups);
     let owners = owners.owners_of(QUOTA_REQUEST.tenant);
     let groups = GroupClients::new(Text::from("zone"), tolerance);
-    groups.update_stores(&Rc::new(map));
+    groups.update_stores(&Rc::new(store_groups));
     Cluster {
         owners: owners.iter().map(|node| stores[node].clone()).collect(),
         stores,
@@ -172,13 +172,13 @@
         assert_eq!(cluster.request_grants(14).await, 10);
         tokio::time::sleep(Duration::from_millis(50)).await;
         assert_eq!(cluster.owners[0].quota_requests.get(), 14);
-        assert_eq!(cluster.owners[1].reported_grants.get(), 10);
+        assert_eq!(cluster.owners[1].received_grants.get(), 10);
         let other_stores = cluster.stores.values().filter(|store| {
             !Rc::ptr_eq(store, &cluster.owners[0]) && !Rc::ptr_eq(store, &cluster.owners[1])
         });
         assert_eq!(
             other_stores
-                .map(|store| store.quota_requests.get() + store.reported_grants.get())
+                .map(|store| store.quota_requests.get() + store.received_grants.get())
                 .sum::<usize>(),
             0
         );
@@ -217,7 +217,7 @@
         let cluster = start_cluster_tolerating(2).await;
         assert_eq!(cluster.request_grants(6).await, 6);
         tokio::time::sleep(Duration::from_millis(50)).await;
-        assert_eq!(cluster.owners[2].reported_grants.get(), 6);
+        assert_eq!(cluster.owners[2].received_grants.get(), 6);
         cluster.owners[0].silent.set(true);
         cluster.owners[1].silent.set(true);
         assert_eq!(cluster.request_grants(10).await, 4, "ten in total");
@@ -237,7 +237,7 @@
         cluster.owners[0].just_started.set(true);
         assert_eq!(cluster.request_grants(10).await, 4, "ten in total");
         tokio::time::sleep(Duration::from_millis(50)).await;
-        assert_eq!(cluster.owners[0].reported_grants.get(), 4);
+        assert_eq!(cluster.owners[0].received_grants.get(), 4);
         // The other owner dies: the restarted one must decide without a full window.
         cluster.owners[1].silent.set(true);
         let decision = cluster
--- a/crates/stageyoke-store/tests/replica_latency_test.rs
+++ b/crates/stageyoke-store/tests/replica_latency_test.rs
@@ -21,7 +21,7 @@
 #[case::one(1)]
 #[case::most(7)]
 #[tokio::test(start_paused = true)]
-async fn slow_replicas_are_told_apart_from_normal_ones(#[case] slow: u32) {
+async fn slow_replicas_are_distinguished_from_normal_ones(#[case] slow: u32) {
     let mut stats = LatencyStats::default();
     let entries: Vec<LatencyEntry> = (0..10)
         .map(|replica| entry(replica, if replica < slow { 6.0 } else { 1.2 }, 5))
--- a/crates/stageyoke-store/tests/version_compatibility_test.rs
+++ b/crates/stageyoke-store/tests/version_compatibility_test.rs
@@ -78,12 +78,12 @@
             number: received.message.number,
             content: Reply::Pong,
         };
-        let extensions = match sends_version && received_fields.is_empty() {
+        let fields = match sends_version && received_fields.is_empty() {
             true => ExtensionFields::greeting(),
             false => ExtensionFields::default(),
         };
         received_fields.push(received.extension_fields);
-        let bytes = frame::encode_with_fields(&reply, &extensions);
+        let bytes = frame::encode_with_fields(&reply, &fields);
         writer.write_all(&bytes).await.expect("write");
     }
     received_fields
@@ -107,7 +107,7 @@
         let received_fields = store.await.expect("store");
         let versions: Vec<_> = received_fields
             .iter()
-            .map(|extensions| extensions.version)
+            .map(|fields| fields.version)
             .collect();
         assert_eq!(versions, [Some(VERSION), None, None]);
     })
@@ -157,12 +157,9 @@
 #[test]
 fn both_encoders_produce_the_same_frame() {
     let message = ping(9);
-    let extensions = ExtensionFields::greeting();
-    let encoded_once = EncodedMessage::encode(&message.content).frame(message.number, &extensions);
-    assert_eq!(
-        encoded_once,
-        frame::encode_with_fields(&message, &extensions)
-    );
+    let fields = ExtensionFields::greeting();
+    let encoded_once = EncodedMessage::encode(&message.content).frame(message.number, &fields);
+    assert_eq!(encoded_once, frame::encode_with_fields(&message, &fields));
 }
 
 /// A front of version 1 must receive exactly the bytes of version 1.
@@ -186,12 +183,12 @@
             number: 7,
             content: Reply::Pong,
         };
-        let plain = exchange_frames(&frame::encode(&ping(7)), address).await;
-        assert_eq!(plain, frame::encode(&pong));
-        let greeted = frame::encode_with_fields(&ping(7), &ExtensionFields::greeting());
-        let greeting = exchange_frames(&greeted, address).await;
+        let plain_reply = exchange_frames(&frame::encode(&ping(7)), address).await;
+        assert_eq!(plain_reply, frame::encode(&pong));
+        let greeting_request = frame::encode_with_fields(&ping(7), &ExtensionFields::greeting());
+        let greeting_reply = exchange_frames(&greeting_request, address).await;
         let expected = frame::encode_with_fields(&pong, &ExtensionFields::greeting());
-        assert_eq!(greeting, expected);
+        assert_eq!(greeting_reply, expected);
     })
     .await;
 }
