--- a/crates/stageyoke-front/tests/cells_test.rs
+++ b/crates/stageyoke-front/tests/cells_test.rs
@@ -1,5 +1,5 @@
-//! Engines divided among the store groups: a program's turns go where its
-//! group's stores count them, and elsewhere only when these are full.
+//! Engine cells: each store group counts the turns of its own engines, so a program's
+//! turns go there and leave only when those engines are full.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -47,12 +47,15 @@
     }
     for program in 0..40 {
         let chosen = choose_engine(&engines, 1_000, program, &rates()).expect("engine");
-        assert!(engines[chosen].in_cell, "others look idle, and may not be");
+        assert!(
+            engines[chosen].in_cell,
+            "engines of other cells may only look idle"
+        );
     }
 }
 
 #[test]
-fn a_full_cell_spills_and_a_held_prompt_draws() {
+fn turns_leave_a_full_cell_or_follow_a_cached_prompt() {
     let mut engines = engines();
     for engine in &mut engines[..4] {
         engine.in_flight = SLOTS * 3;
@@ -65,7 +68,7 @@
 }
 
 #[test]
-fn a_cell_without_usable_engines_binds_nobody() {
+fn turns_leave_a_cell_without_eligible_engines() {
     let mut engines = engines();
     for engine in &mut engines[..4] {
         engine.eligible = false;
@@ -88,14 +91,14 @@
         .collect()
 }
 
-/// The engines of each group, by their hashes.
+/// Hashes of the engines in each group's cell.
 fn cells(count: usize, groups: usize) -> Vec<BTreeSet<u64>> {
-    let fleet = ReplicaRegistry::new(Rc::new(LoadTracker::new(1)));
-    fleet.set_store_groups(groups);
-    fleet.apply_list(&records(count), None);
+    let registry = ReplicaRegistry::new(Rc::new(LoadTracker::new(1)));
+    registry.set_store_groups(groups);
+    registry.apply_list(&records(count), None);
     let cell = |group: u32| {
         let cell = RefCell::new(BTreeSet::new());
-        let wanted = ReplicaQuery {
+        let query = ReplicaQuery {
             service: SERVICE,
             zone: "zone",
             excluded: &[],
@@ -103,10 +106,10 @@
             group: Some(GroupNumber(group)),
             repeatable: false,
         };
-        fleet.choose(&wanted, |candidates| {
-            let own = candidates.iter().filter(|candidate| candidate.in_cell);
+        registry.choose(&query, |candidates| {
+            let own_engines = candidates.iter().filter(|candidate| candidate.in_cell);
             cell.borrow_mut()
-                .extend(own.map(|candidate| candidate.hash));
+                .extend(own_engines.map(|candidate| candidate.hash));
             None
         });
         cell.into_inner()
@@ -118,35 +121,38 @@
 #[case(102, 7)]
 #[case(32, 2)]
 #[case(11, 1)]
-fn cells_are_even_and_change_little(#[case] count: usize, #[case] groups: usize) {
+fn cells_differ_by_at_most_one_engine_and_change_little(
+    #[case] count: usize,
+    #[case] groups: usize,
+) {
     let before = cells(count, groups);
     let sizes: Vec<usize> = before.iter().map(BTreeSet::len).collect();
     assert_eq!(sizes.iter().sum::<usize>(), count);
-    let least = sizes.iter().min().expect("groups");
-    assert!(sizes.iter().all(|size| size - least <= 1), "{sizes:?}");
+    let smallest = sizes.iter().min().expect("groups");
+    assert!(sizes.iter().all(|size| size - smallest <= 1), "{sizes:?}");
     let after = cells(count + 1, groups);
     let moved: usize = before
         .iter()
         .zip(&after)
         .map(|(before, after)| before.difference(after).count())
         .sum();
-    assert!(moved < groups.max(1), "{moved} engines changed their group");
+    assert!(moved < groups.max(1), "{moved} engines changed cells");
 }
 
 #[test]
-fn too_few_engines_are_not_divided() {
+fn too_few_engines_are_not_divided_into_cells() {
     assert!(cells(11, 2).iter().all(BTreeSet::is_empty));
 }
 
-/// In its cell a program sees what its group's stores count, on others what the
-/// fronts report.
+/// For engines of its cell, a program's placement must use the counts of its group's
+/// stores; for other engines, the reports of the fronts.
 #[tokio::test(start_paused = true)]
-async fn a_group_sees_its_own_count() {
-    let board = Rc::new(LoadTracker::new(1));
-    let fleet = ReplicaRegistry::new(board.clone());
-    fleet.set_store_groups(1);
-    fleet.apply_list(&records(6), None);
-    let wanted = ReplicaQuery {
+async fn turns_counted_by_the_groups_stores_are_used_for_placement() {
+    let tracker = Rc::new(LoadTracker::new(1));
+    let registry = ReplicaRegistry::new(tracker.clone());
+    registry.set_store_groups(1);
+    registry.apply_list(&records(6), None);
+    let query = ReplicaQuery {
         service: SERVICE,
         zone: "zone",
         excluded: &[],
@@ -154,7 +160,7 @@
         group: Some(GroupNumber(0)),
         repeatable: false,
     };
-    let first = fleet.choose(&wanted, |_| Some(0)).expect("engine");
+    let first = registry.choose(&query, |_| Some(0)).expect("engine");
     let mut placed = PlacedTurns::default();
     for turn in 0..5 {
         let placement = Placement {
@@ -163,16 +169,16 @@
         };
         placed.start(turn, placement);
     }
-    let told = OtherFrontsReport {
+    let report = OtherFrontsReport {
         placed_turns: placed.counts_excluding(9),
         ..Default::default()
     };
-    board.apply_report(GroupNumber(0), told);
-    let seen = RefCell::new(Vec::new());
-    fleet.choose(&wanted, |candidates| {
+    tracker.apply_report(GroupNumber(0), report);
+    let observed_loads = RefCell::new(Vec::new());
+    registry.choose(&query, |candidates| {
         let in_flight = candidates.iter().map(|candidate| candidate.in_flight);
-        seen.borrow_mut().extend(in_flight);
+        observed_loads.borrow_mut().extend(in_flight);
         None
     });
-    assert_eq!(seen.into_inner(), [5, 0, 0, 0, 0, 0]);
+    assert_eq!(observed_loads.into_inner(), [5, 0, 0, 0, 0, 0]);
 }
--- a/crates/stageyoke-front/tests/front_test.rs
+++ b/crates/stageyoke-front/tests/front_test.rs
@@ -1,4 +1,4 @@
-//! A front in process, against replicas that answer as scripted, on loopback.
+//! Runs a front in process against scripted replicas on the loopback interface.
 
 mod support;
 
@@ -29,31 +29,33 @@
 use tokio::sync::Notify;
 use tokio::task::LocalSet;
 
-/// Memory of the front's machine: its requests may hold a third of it.
+/// Memory of the front's machine, of which buffered requests may use a third.
 const MEMORY_BYTES: u64 = 2_000;
-/// Word of a table whose replicas are engines.
+/// Marks a route table whose replicas are engines.
 const ENGINES: &str = "engines";
-/// Only reached where a test fails.
-const PATIENCE: Duration = Duration::from_secs(20);
-const SIGNED: &str = "HTTP/1.1 200 OK\r\nid: ID\r\nsigned: s\r\nContent-Length: 4\r\n\r\nbody";
-const NOT_RUN: &str = "HTTP/1.1 503 No\r\nid: ID\r\nnot-run: 1\r\nContent-Length: 0\r\n\r\n";
+/// Limits how long a failing test can hang.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+const SIGNED_RESPONSE: &str =
+    "HTTP/1.1 200 OK\r\nid: ID\r\nsigned: s\r\nContent-Length: 4\r\n\r\nbody";
+const NOT_RUN_RESPONSE: &str =
+    "HTTP/1.1 503 No\r\nid: ID\r\nnot-run: 1\r\nContent-Length: 0\r\n\r\n";
 
-/// What the key-value service holds; `routes` names a table of `table`.
+/// Fake key-value service; `routes` holds the text that `parse_route_table` parses.
 #[derive(Clone)]
-struct Directory {
+struct FakeKeyValueService {
     replicas: Vec<SocketAddr>,
     store: Option<SocketAddr>,
     reachable: Rc<RefCell<bool>>,
-    routes: Rc<RefCell<Versioned>>,
+    routes: Rc<RefCell<VersionedRoutes>>,
     written: Rc<Notify>,
 }
 
-struct Versioned {
+struct VersionedRoutes {
     revision: u64,
     text: String,
 }
 
-impl Directory {
+impl FakeKeyValueService {
     fn routes(&self) -> Item {
         let routes = self.routes.borrow();
         Item {
@@ -63,7 +65,7 @@
     }
 }
 
-impl KeyValueService for Directory {
+impl KeyValueService for FakeKeyValueService {
     async fn get(&self, key: &str) -> Result<Option<Item>, KeyValueError> {
         if !*self.reachable.borrow() {
             return Err(KeyValueError::NoAnswer);
@@ -121,7 +123,7 @@
     }
 }
 
-fn one_store(address: &str) -> StoreGroups {
+fn single_store_group(address: &str) -> StoreGroups {
     StoreGroups::single(Members::default().with_member(Member {
         node: Text::from("store"),
         address: Text::from(address),
@@ -131,37 +133,37 @@
     }))
 }
 
-/// A store that grants every request, and hears which are given back.
-struct Granting {
+/// Store that grants every quota request and records the refunds.
+struct GrantingStore {
     address: SocketAddr,
     granted: Rc<Cell<u64>>,
-    returned: Rc<RefCell<Vec<u64>>>,
+    refunded: Rc<RefCell<Vec<u64>>>,
 }
 
-impl Granting {
+impl GrantingStore {
     async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
         let granted: Rc<Cell<u64>> = Rc::default();
-        let returned: Rc<RefCell<Vec<u64>>> = Rc::default();
-        let counts = (granted.clone(), returned.clone());
+        let refunded: Rc<RefCell<Vec<u64>>> = Rc::default();
+        let counts = (granted.clone(), refunded.clone());
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::task::spawn_local(grant_all(stream, counts.0.clone(), counts.1.clone()));
+                tokio::task::spawn_local(serve_grants(stream, counts.0.clone(), counts.1.clone()));
             }
         });
         Self {
             address,
             granted,
-            returned,
+            refunded,
         }
     }
 }
 
-async fn grant_all(stream: TcpStream, granted: Rc<Cell<u64>>, returned: Rc<RefCell<Vec<u64>>>) {
+async fn serve_grants(stream: TcpStream, granted: Rc<Cell<u64>>, refunded: Rc<RefCell<Vec<u64>>>) {
     let (mut reader, mut writer) = stream.into_split();
-    while let Ok(asked) = frame::read::<Numbered<StoreRequest>>(&mut reader).await {
-        let content = match asked.content {
+    while let Ok(request) = frame::read::<Numbered<StoreRequest>>(&mut reader).await {
+        let content = match request.content {
             StoreRequest::Quota(_) => {
                 granted.set(granted.get() + 1);
                 let receipt = QuotaReceipt {
@@ -176,12 +178,12 @@
                 })
             }
             StoreRequest::QuotaRefund { receipt, .. } => {
-                returned.borrow_mut().push(receipt.slot);
+                refunded.borrow_mut().push(receipt.slot);
                 Reply::Pong
             }
             _ => Reply::Pong,
         };
-        let number = asked.number;
+        let number = request.number;
         let bytes = frame::encode(&Numbered { number, content });
         if writer.write_all(&bytes).await.is_err() {
             return;
@@ -189,41 +191,41 @@
     }
 }
 
-/// A store that tells of a full fleet: so many turns under way at its one service, and
-/// one program that has begun. One of version 1 tells neither.
-struct Telling {
+/// Store that reports a number of turns in flight at the service and one started
+/// program. A store of version 1 reports neither.
+struct ReportingStore {
     address: SocketAddr,
     reserved: Rc<RefCell<Vec<String>>>,
 }
 
-/// The program that has begun, as the store knows.
-const BEGUN: &str = "begun";
+/// Program that the store reports as started.
+const STARTED_PROGRAM: &str = "begun";
 
-impl Telling {
-    async fn start(under_way: u16, first_version: bool) -> Self {
+impl ReportingStore {
+    async fn start(in_flight: u16, first_version: bool) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
         let reserved: Rc<RefCell<Vec<String>>> = Rc::default();
-        let heard = reserved.clone();
+        let received = reserved.clone();
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let telling = tell_all(stream, under_way, first_version, heard.clone());
-                tokio::task::spawn_local(telling);
+                let serving = serve_reports(stream, in_flight, first_version, received.clone());
+                tokio::task::spawn_local(serving);
             }
         });
         Self { address, reserved }
     }
 }
 
-async fn tell_all(
+async fn serve_reports(
     stream: TcpStream,
-    under_way: u16,
+    in_flight: u16,
     first_version: bool,
     reserved: Rc<RefCell<Vec<String>>>,
 ) {
     let (mut reader, mut writer) = stream.into_split();
-    while let Ok(asked) = frame::read_with_fields::<StoreRequest>(&mut reader).await {
-        let content = match asked.message.content {
+    while let Ok(request) = frame::read_with_fields::<StoreRequest>(&mut reader).await {
+        let content = match request.message.content {
             StoreRequest::Append { record, .. } => {
                 if let Record::Reserve { program, .. } = record {
                     reserved.borrow_mut().push(program.to_string());
@@ -240,20 +242,20 @@
         let load = RankLoad {
             service: service_hash(&Text::from("service")),
             rank: 0,
-            in_flight: under_way,
+            in_flight,
         };
         let extensions = match first_version {
             true => ExtensionFields::default(),
             false => ExtensionFields {
                 rank_loads: Some(List(vec![load])),
-                started: asked
+                started: request
                     .extension_fields
                     .program
-                    .map(|name| name.as_str() == BEGUN),
+                    .map(|name| name.as_str() == STARTED_PROGRAM),
                 ..ExtensionFields::greeting()
             },
         };
-        let number = asked.message.number;
+        let number = request.message.number;
         let bytes = frame::encode_with_fields(&Numbered { number, content }, &extensions);
         if writer.write_all(&bytes).await.is_err() {
             return;
@@ -261,14 +263,16 @@
     }
 }
 
-struct Words;
+struct TestInterpreter;
 
-impl Interpreter for Words {
+impl Interpreter for TestInterpreter {
     fn interpret(&self, key: &str, value: Option<&Bytes>) -> Update {
         let text = value.and_then(|value| std::str::from_utf8(value).ok());
         match (key, text) {
-            ("routes", Some(text)) => Update::Routes(table(text)),
-            ("members", Some(address)) if !address.is_empty() => Update::Stores(one_store(address)),
+            ("routes", Some(text)) => Update::Routes(parse_route_table(text)),
+            ("members", Some(address)) if !address.is_empty() => {
+                Update::Stores(single_store_group(address))
+            }
             ("members", _) => Update::Ignored,
             (id, Some(address)) => Update::Replica {
                 id: Text::from(id),
@@ -307,10 +311,9 @@
     }
 }
 
-/// A table by its version and the keys of its tenants, `key=tenant` or
-/// `key=tenant/limit` (requests a second); without any it has no tenants. `ENGINES` among
-/// them makes the replicas engines.
-fn table(text: &str) -> RouteTable {
+/// Parses a route table from its version and tenant keys, each `key=tenant` or
+/// `key=tenant/limit` (requests per second). The word `ENGINES` makes the replicas engines.
+fn parse_route_table(text: &str) -> RouteTable {
     let (version, keys) = text.split_once(' ').expect("version and keys");
     let mut tenants = Tenants::default();
     let engine = keys.contains(ENGINES).then_some(EngineShape {
@@ -319,8 +322,10 @@
         tokens_per_event: 1,
     });
     for pair in keys.split_whitespace().filter(|word| *word != ENGINES) {
-        let (key, holder) = pair.split_once('=').expect("key and tenant");
-        let (name, limit) = holder.split_once('/').unwrap_or((holder, ""));
+        let (key, tenant_and_limit) = pair.split_once('=').expect("key and tenant");
+        let (name, limit) = tenant_and_limit
+            .split_once('/')
+            .unwrap_or((tenant_and_limit, ""));
         let limit = limit.parse().ok().map(|per_second| RateLimit {
             per_second,
             burst: per_second,
@@ -374,42 +379,45 @@
     }
 }
 
-/// A replica that answers its requests with these texts, one after the other,
-/// the last again and again; `ID` stands for the request's identifier, and
-/// `CLOSE` at the end closes the connection.
+/// Replica that sends scripted responses in order and then repeats the last one. `ID`
+/// is replaced by the request's identifier; a trailing `CLOSE` closes the connection.
 #[derive(Clone)]
 struct Replica {
     address: SocketAddr,
-    heard: Rc<RefCell<Vec<String>>>,
+    received: Rc<RefCell<Vec<String>>>,
 }
 
 impl Replica {
     async fn start(answers: &[&str]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
-        let heard = Rc::new(RefCell::new(Vec::new()));
-        let texts: Vec<String> = answers.iter().map(|text| (*text).to_owned()).collect();
-        let hearing = heard.clone();
+        let received = Rc::new(RefCell::new(Vec::new()));
+        let responses: Vec<String> = answers.iter().map(|text| (*text).to_owned()).collect();
+        let recorded = received.clone();
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (texts, hearing) = (texts.clone(), hearing.clone());
-                tokio::task::spawn_local(answer_all(stream, texts, hearing));
+                let (responses, recorded) = (responses.clone(), recorded.clone());
+                tokio::task::spawn_local(serve_responses(stream, responses, recorded));
             }
         });
-        Self { address, heard }
+        Self { address, received }
     }
 
     fn count(&self) -> usize {
-        self.heard.borrow().len()
+        self.received.borrow().len()
     }
 }
 
-async fn answer_all(mut stream: TcpStream, texts: Vec<String>, heard: Rc<RefCell<Vec<String>>>) {
+async fn serve_responses(
+    mut stream: TcpStream,
+    responses: Vec<String>,
+    received: Rc<RefCell<Vec<String>>>,
+) {
     while let Some(request) = read_message(&mut stream).await {
-        let number = heard.borrow().len();
-        heard.borrow_mut().push(request.clone());
-        let text = &texts[number.min(texts.len() - 1)];
-        let text = text.replace("ID", &field(&request, "id").unwrap_or_default());
+        let number = received.borrow().len();
+        received.borrow_mut().push(request.clone());
+        let text = &responses[number.min(responses.len() - 1)];
+        let text = text.replace("ID", &header_value(&request, "id").unwrap_or_default());
         let closes = text.ends_with("CLOSE");
         let text = text.trim_end_matches("CLOSE");
         if stream.write_all(text.as_bytes()).await.is_err() || closes {
@@ -418,7 +426,7 @@
     }
 }
 
-fn field(message: &str, name: &str) -> Option<String> {
+fn header_value(message: &str, name: &str) -> Option<String> {
     let prefix = format!("{name}: ");
     let line = message.lines().find(|line| line.starts_with(&prefix))?;
     Some(line[prefix.len()..].to_owned())
@@ -429,7 +437,8 @@
     loop {
         let text = String::from_utf8_lossy(&bytes).into_owned();
         if let Some((head, body)) = text.split_once("\r\n\r\n") {
-            let length = field(head, "content-length").and_then(|length| length.parse().ok());
+            let length =
+                header_value(head, "content-length").and_then(|length| length.parse().ok());
             if body.len() >= length.unwrap_or(0) {
                 return Some(text);
             }
@@ -442,66 +451,70 @@
     }
 }
 
-struct Bench {
-    front: SocketAddr,
-    ready: SocketAddr,
+struct TestFront {
+    address: SocketAddr,
+    readiness_address: SocketAddr,
     reachable: Rc<RefCell<bool>>,
-    directory: Directory,
+    directory: FakeKeyValueService,
 }
 
-impl Bench {
-    /// Puts another table into the key-value service.
+impl TestFront {
+    /// Writes a new route table to the key-value service and wakes the watches.
     fn configure(&self, text: &str) {
-        self.write_silently(text);
+        self.write_without_notification(text);
         self.directory.written.notify_waiters();
     }
 
-    /// The same, and no watch tells of it.
-    fn write_silently(&self, text: &str) {
+    /// Writes a new route table without waking the watches.
+    fn write_without_notification(&self, text: &str) {
         let mut routes = self.directory.routes.borrow_mut();
         routes.revision += 1;
         routes.text = text.to_owned();
     }
 }
 
-async fn start(replicas: &[&Replica]) -> Bench {
-    start_with(replicas, "").await
+async fn start(replicas: &[&Replica]) -> TestFront {
+    start_with_routes(replicas, "").await
 }
 
-/// Starts a front with the tenants of a table.
-async fn start_with(replicas: &[&Replica], routes: &str) -> Bench {
-    start_beside(replicas, routes, None).await
+/// Starts a front with a route table that lists tenants.
+async fn start_with_routes(replicas: &[&Replica], routes: &str) -> TestFront {
+    start_with_store(replicas, routes, None).await
 }
 
-/// The same beside a store.
-async fn start_beside(replicas: &[&Replica], routes: &str, store: Option<SocketAddr>) -> Bench {
-    start_controlled(replicas, routes, store, false).await
+/// Starts a front that uses a store, if one is given.
+async fn start_with_store(
+    replicas: &[&Replica],
+    routes: &str,
+    store: Option<SocketAddr>,
+) -> TestFront {
+    start_with_admission_control(replicas, routes, store, false).await
 }
 
-/// The same with or without programs turned away for want of room.
-async fn start_controlled(
+/// Starts a front with admission control of programs on or off.
+async fn start_with_admission_control(
     replicas: &[&Replica],
     routes: &str,
     store: Option<SocketAddr>,
     admission_control: bool,
-) -> Bench {
+) -> TestFront {
     let reachable = Rc::new(RefCell::new(true));
-    let directory = Directory {
+    let directory = FakeKeyValueService {
         replicas: replicas.iter().map(|replica| replica.address).collect(),
         store,
         reachable: reachable.clone(),
-        routes: Rc::new(RefCell::new(Versioned {
+        routes: Rc::new(RefCell::new(VersionedRoutes {
             revision: 1,
             text: routes.to_owned(),
         })),
         written: Rc::default(),
     };
-    let kept = directory.clone();
-    let mirror = Mirror::new(directory, Words);
+    let directory_handle = directory.clone();
+    let mirror = Mirror::new(directory, TestInterpreter);
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let listeners = FrontListeners::open(any, any).await.expect("listeners");
-    let front = listeners.callers.local_addr().expect("address");
-    let ready = listeners.readiness.local_addr().expect("address");
+    let address = listeners.callers.local_addr().expect("address");
+    let readiness_address = listeners.readiness.local_addr().expect("address");
     let settings = FrontSettings {
         node: Text::from("front"),
         zone: Text::from("zone"),
@@ -522,14 +535,14 @@
         mirror,
         stop,
     ));
-    let bench = Bench {
-        front,
-        ready,
+    let test_front = TestFront {
+        address,
+        readiness_address,
         reachable,
-        directory: kept,
+        directory: directory_handle,
     };
-    while !ask(
-        bench.ready,
+    while !send_request(
+        test_front.readiness_address,
         "GET /ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n",
     )
     .await
@@ -537,18 +550,18 @@
     {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    bench
+    test_front
 }
 
-/// Sends one request on a new connection and reads until it closes.
-async fn ask(address: SocketAddr, request: &str) -> String {
+/// Sends a request on a new connection and reads until the connection closes.
+async fn send_request(address: SocketAddr, request: &str) -> String {
     let Ok(mut stream) = TcpStream::connect(address).await else {
         return String::new();
     };
     let _ = stream.write_all(request.as_bytes()).await;
     let mut bytes = Vec::new();
     let reading = stream.read_to_end(&mut bytes);
-    let _ = tokio::time::timeout(PATIENCE, reading).await;
+    let _ = tokio::time::timeout(TEST_TIMEOUT, reading).await;
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
@@ -560,114 +573,126 @@
     )
 }
 
-async fn local<T>(work: impl Future<Output = T>) -> T {
+async fn run_local<T>(work: impl Future<Output = T>) -> T {
     LocalSet::new().run_until(work).await
 }
 
 #[tokio::test]
-async fn a_plain_answer_passes_with_its_signature_and_the_request_unchanged() {
-    local(async {
-        let replica = Replica::start(&[SIGNED]).await;
-        let bench = start(&[&replica]).await;
-        let answer = ask(bench.front, &request("POST", "/once/a?b=c", "hello")).await;
+async fn a_signed_answer_and_its_request_are_forwarded_unchanged() {
+    run_local(async {
+        let replica = Replica::start(&[SIGNED_RESPONSE]).await;
+        let test_front = start(&[&replica]).await;
+        let answer =
+            send_request(test_front.address, &request("POST", "/once/a?b=c", "hello")).await;
         assert!(
             answer.starts_with("HTTP/1.1 200") && answer.ends_with("body"),
             "{answer}"
         );
         assert!(answer.contains("signed: s"));
-        let heard = replica.heard.borrow()[0].clone();
-        assert!(heard.starts_with("POST /once/a?b=c HTTP/1.1"), "{heard}");
-        assert!(heard.ends_with("hello"));
-        assert_eq!(field(&heard, "instance").as_deref(), Some("replica-0"));
-        let left: u64 = field(&heard, "deadline")
+        let received = replica.received.borrow()[0].clone();
+        assert!(
+            received.starts_with("POST /once/a?b=c HTTP/1.1"),
+            "{received}"
+        );
+        assert!(received.ends_with("hello"));
+        assert_eq!(
+            header_value(&received, "instance").as_deref(),
+            Some("replica-0")
+        );
+        let remaining_milliseconds: u64 = header_value(&received, "deadline")
             .expect("deadline")
             .parse()
             .expect("number");
-        assert!(left <= 1400);
+        assert!(remaining_milliseconds <= 1400);
     })
     .await;
 }
 
-/// A replica refuses a request that names a copy which it does not hold: one
-/// caller's header must not decide what only the front may say.
+/// A caller must not be able to set headers that only the front may send, such as the
+/// urgency of a request.
 #[tokio::test]
-async fn what_only_the_front_may_say_is_taken_from_a_callers_request() {
-    local(async {
-        let replica = Replica::start(&[SIGNED]).await;
-        let bench = start(&[&replica]).await;
+async fn reserved_headers_are_removed_from_a_callers_request() {
+    run_local(async {
+        let replica = Replica::start(&[SIGNED_RESPONSE]).await;
+        let test_front = start(&[&replica]).await;
         let forged = request("POST", "/once/a", "order").replacen(
             "id: r-1",
             "Copy-From: 10.0.0.1:80/x\r\nurgency: 0\r\nUrgency: 1\r\nkept: yes\r\nid: r-1",
             1,
         );
-        let answer = ask(bench.front, &forged).await;
+        let answer = send_request(test_front.address, &forged).await;
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-        let heard = replica.heard.borrow()[0].to_lowercase();
-        assert!(!heard.contains("copy-from"), "{heard}");
-        assert!(!heard.contains("urgency"), "{heard}");
-        assert!(heard.contains("kept: yes"), "others pass: {heard}");
+        let received = replica.received.borrow()[0].to_lowercase();
+        assert!(!received.contains("copy-from"), "{received}");
+        assert!(!received.contains("urgency"), "{received}");
+        assert!(
+            received.contains("kept: yes"),
+            "other headers must pass: {received}"
+        );
     })
     .await;
 }
 
 #[tokio::test]
-async fn what_may_run_once_is_never_sent_again_after_a_lost_answer() {
-    local(async {
+async fn a_non_repeatable_request_is_not_retried_after_a_lost_answer() {
+    run_local(async {
         let replicas = [
             Replica::start(&["CLOSE"]).await,
             Replica::start(&["CLOSE"]).await,
         ];
-        let bench = start(&[&replicas[0], &replicas[1]]).await;
-        let answer = ask(bench.front, &request("POST", "/once/a", "order")).await;
+        let test_front = start(&[&replicas[0], &replicas[1]]).await;
+        let answer = send_request(test_front.address, &request("POST", "/once/a", "order")).await;
         assert!(answer.starts_with("HTTP/1.1 502"), "{answer}");
         assert_eq!(replicas[0].count() + replicas[1].count(), 1);
-        let answer = ask(bench.front, &request("GET", "/safe/a", "")).await;
+        let answer = send_request(test_front.address, &request("GET", "/safe/a", "")).await;
         assert!(answer.starts_with("HTTP/1.1 502"), "{answer}");
         assert!(
             replicas[0].count() + replicas[1].count() > 2,
-            "a safe one is tried again"
+            "a repeatable request must be retried"
         );
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_promise_not_to_run_allows_another_replica_and_else_a_refusal() {
-    local(async {
-        let full = Replica::start(&[NOT_RUN]).await;
-        let free = Replica::start(&[SIGNED]).await;
-        let bench = start(&[&full, &free]).await;
+async fn a_request_that_was_not_run_is_retried_elsewhere_or_rejected() {
+    run_local(async {
+        let full = Replica::start(&[NOT_RUN_RESPONSE]).await;
+        let free = Replica::start(&[SIGNED_RESPONSE]).await;
+        let test_front = start(&[&full, &free]).await;
         for _ in 0..6 {
-            let answer = ask(bench.front, &request("POST", "/once/a", "order")).await;
+            let answer =
+                send_request(test_front.address, &request("POST", "/once/a", "order")).await;
             assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
         }
         assert_eq!(free.count(), 6);
-        let bench = start(&[&full]).await;
-        let answer = ask(bench.front, &request("POST", "/once/a", "order")).await;
+        let test_front = start(&[&full]).await;
+        let answer = send_request(test_front.address, &request("POST", "/once/a", "order")).await;
         assert!(
             answer.starts_with("HTTP/1.1 503") && answer.contains("retry-after: "),
             "{answer}"
         );
         assert!(
             !answer.contains("signed"),
-            "a refusal of its own bears no signature"
+            "the front's own rejection must not be signed"
         );
     })
     .await;
 }
 
 #[tokio::test]
-async fn answers_of_others_unsigned_and_cut_ones_never_pass_as_successes() {
-    let foreign = "HTTP/1.1 200 OK\r\nid: other\r\nsigned: s\r\nContent-Length: 4\r\n\r\nbody";
+async fn mismatched_unsigned_truncated_and_malformed_answers_become_502() {
+    let mismatched = "HTTP/1.1 200 OK\r\nid: other\r\nsigned: s\r\nContent-Length: 4\r\n\r\nbody";
     let unsigned = "HTTP/1.1 200 OK\r\nid: ID\r\nContent-Length: 4\r\n\r\nbody";
     let cut = "HTTP/1.1 200 OK\r\nid: ID\r\nsigned: s\r\nContent-Length: 9\r\n\r\nbodyCLOSE";
-    let noise = "no answer at allCLOSE";
-    for wrong in [foreign, unsigned, cut, noise] {
-        local(async {
-            let replica = Replica::start(&[wrong]).await;
-            let bench = start(&[&replica]).await;
-            let answer = ask(bench.front, &request("POST", "/once/a", "order")).await;
-            assert!(answer.starts_with("HTTP/1.1 502"), "{wrong}: {answer}");
+    let malformed = "no answer at allCLOSE";
+    for response in [mismatched, unsigned, cut, malformed] {
+        run_local(async {
+            let replica = Replica::start(&[response]).await;
+            let test_front = start(&[&replica]).await;
+            let answer =
+                send_request(test_front.address, &request("POST", "/once/a", "order")).await;
+            assert!(answer.starts_with("HTTP/1.1 502"), "{response}: {answer}");
             assert_eq!(replica.count(), 1);
         })
         .await;
@@ -675,14 +700,15 @@
 }
 
 #[tokio::test]
-async fn bytes_after_a_whole_answer_belong_to_no_request() {
-    let surplus =
-        format!("{SIGNED}HTTP/1.1 200 OK\r\nid: r-1\r\nsigned: s\r\nContent-Length: 3\r\n\r\nbad");
-    local(async {
-        let replica = Replica::start(&[&surplus]).await;
-        let bench = start(&[&replica]).await;
+async fn bytes_after_a_complete_answer_are_discarded() {
+    let response_with_extra = format!(
+        "{SIGNED_RESPONSE}HTTP/1.1 200 OK\r\nid: r-1\r\nsigned: s\r\nContent-Length: 3\r\n\r\nbad"
+    );
+    run_local(async {
+        let replica = Replica::start(&[&response_with_extra]).await;
+        let test_front = start(&[&replica]).await;
         for _ in 0..3 {
-            let answer = ask(bench.front, &request("GET", "/safe/a", "")).await;
+            let answer = send_request(test_front.address, &request("GET", "/safe/a", "")).await;
             assert!(answer.ends_with("body"), "{answer}");
         }
     })
@@ -690,66 +716,77 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_breaks_off_never_looks_complete() {
+async fn a_truncated_stream_never_looks_complete() {
     let head = "HTTP/1.1 200 OK\r\nid: ID\r\nsigned: s\r\nTransfer-Encoding: chunked\r\n\r\n";
     let whole = format!("{head}d\r\nid: 1\ndata: a\r\n3\r\n\n\nx\r\n0\r\n\r\n");
     let broken = format!("{head}d\r\nid: 1\ndata: a\r\n3\r\n\n\nx\r\nCLOSE");
-    local(async {
+    run_local(async {
         let replica = Replica::start(&[&whole, &broken]).await;
-        let bench = start(&[&replica]).await;
-        let answer = ask(bench.front, &request("POST", "/stream/a", "")).await;
+        let test_front = start(&[&replica]).await;
+        let answer = send_request(test_front.address, &request("POST", "/stream/a", "")).await;
         assert!(
             answer.ends_with("0\r\n\r\n") && answer.contains("data: a"),
             "{answer}"
         );
-        let answer = ask(bench.front, &request("POST", "/stream/a", "")).await;
+        let answer = send_request(test_front.address, &request("POST", "/stream/a", "")).await;
         assert!(
             answer.contains("data: a"),
-            "the whole event passes: {answer}"
+            "the complete event must pass: {answer}"
+        );
+        assert!(
+            !answer.contains('x'),
+            "the partial event must not pass: {answer}"
+        );
+        assert!(
+            !answer.contains("0\r\n\r\n"),
+            "the final chunk must not be sent: {answer}"
         );
-        assert!(!answer.contains('x'), "the rest does not: {answer}");
-        assert!(!answer.contains("0\r\n\r\n"), "nor does an end: {answer}");
     })
     .await;
 }
 
 #[tokio::test]
 async fn an_unknown_route_is_404_only_once_the_service_has_confirmed_it() {
-    local(async {
-        let replica = Replica::start(&[SIGNED]).await;
-        let bench = start(&[&replica]).await;
-        let answer = ask(bench.front, &request("GET", "/other/a", "")).await;
+    run_local(async {
+        let replica = Replica::start(&[SIGNED_RESPONSE]).await;
+        let test_front = start(&[&replica]).await;
+        let answer = send_request(test_front.address, &request("GET", "/other/a", "")).await;
         assert!(answer.starts_with("HTTP/1.1 404"), "{answer}");
-        *bench.reachable.borrow_mut() = false;
-        let answer = ask(bench.front, &request("GET", "/other/a", "")).await;
+        *test_front.reachable.borrow_mut() = false;
+        let answer = send_request(test_front.address, &request("GET", "/other/a", "")).await;
         assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
         assert_eq!(replica.count(), 0);
     })
     .await;
 }
 
-fn with_fields(method: &str, path: &str, fields: &str) -> String {
+fn request_with_headers(method: &str, path: &str, fields: &str) -> String {
     request(method, path, "").replacen("id: r-1", &format!("{fields}id: r-1"), 1)
 }
 
-/// The key stays here, the tenant is told, whatever the caller says of it.
+/// The replica receives the tenant of the key, never the key or a tenant that the caller
+/// claims.
 #[tokio::test]
-async fn a_key_is_exchanged_for_its_tenants_name() {
-    local(async {
-        let replica = Replica::start(&[SIGNED]).await;
-        let bench = start_with(&[&replica], "k-1=ann k-2=bob").await;
+async fn a_key_is_replaced_by_its_tenants_name() {
+    run_local(async {
+        let replica = Replica::start(&[SIGNED_RESPONSE]).await;
+        let test_front = start_with_routes(&[&replica], "k-1=ann k-2=bob").await;
         let fields = "tenant: ann\r\nTenant: eve\r\nAuthorization: bearer  k-2\r\n";
-        let answer = ask(bench.front, &with_fields("POST", "/once/a", fields)).await;
+        let answer = send_request(
+            test_front.address,
+            &request_with_headers("POST", "/once/a", fields),
+        )
+        .await;
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-        let heard = replica.heard.borrow()[0].to_lowercase();
-        let told: Vec<&str> = heard
+        let received = replica.received.borrow()[0].to_lowercase();
+        let tenants: Vec<&str> = received
             .lines()
             .filter(|line| line.starts_with("tenant:"))
             .collect();
-        assert_eq!(told, ["tenant: bob"]);
+        assert_eq!(tenants, ["tenant: bob"]);
         assert!(
-            !heard.contains("k-2") && !heard.contains("authorization"),
-            "{heard}"
+            !received.contains("k-2") && !received.contains("authorization"),
+            "{received}"
         );
     })
     .await;
@@ -774,16 +811,23 @@
     #[case] safe: &str,
     #[case] open: &str,
 ) {
-    local(async {
-        let replica = Replica::start(&[SIGNED]).await;
-        let bench = start_with(&[&replica], "k-1=ann k-2=bob").await;
+    run_local(async {
+        let replica = Replica::start(&[SIGNED_RESPONSE]).await;
+        let test_front = start_with_routes(&[&replica], "k-1=ann k-2=bob").await;
         for (path, status) in [("/once/a", once), ("/safe/a", safe), ("/open/a", open)] {
-            let answer = ask(bench.front, &with_fields("POST", path, fields)).await;
+            let answer = send_request(
+                test_front.address,
+                &request_with_headers("POST", path, fields),
+            )
+            .await;
             assert!(
                 answer.starts_with(&format!("HTTP/1.1 {status}")),
                 "{path}: {answer}"
             );
-            assert!(!answer.contains("k-"), "no key is told: {answer}");
+            assert!(
+                !answer.contains("k-"),
+                "the answer must not reveal a key: {answer}"
+            );
         }
         let expected = [once, safe, open]
             .iter()
@@ -794,22 +838,26 @@
     .await;
 }
 
-/// A key may stand in a newer configuration than this front has heard of; that it
-/// doesn't is only known from the service, and "unknown" must not be guessed.
+/// A newer configuration may contain the key, so the front must not answer 401 before the
+/// key-value service confirms that its own configuration is current.
 #[tokio::test]
-async fn an_unknown_key_is_refused_only_once_the_service_has_confirmed_it() {
-    local(async {
-        let replica = Replica::start(&[SIGNED]).await;
-        let bench = start_with(&[&replica], "k-1=ann").await;
-        let asked = with_fields("POST", "/once/a", "Authorization: Bearer k-2\r\n");
-        *bench.reachable.borrow_mut() = false;
-        let answer = ask(bench.front, &asked).await;
+async fn an_unknown_key_is_rejected_only_once_the_service_has_confirmed_it() {
+    run_local(async {
+        let replica = Replica::start(&[SIGNED_RESPONSE]).await;
+        let test_front = start_with_routes(&[&replica], "k-1=ann").await;
+        let request_text = request_with_headers("POST", "/once/a", "Authorization: Bearer k-2\r\n");
+        *test_front.reachable.borrow_mut() = false;
+        let answer = send_request(test_front.address, &request_text).await;
         assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
-        *bench.reachable.borrow_mut() = true;
-        assert!(ask(bench.front, &asked).await.starts_with("HTTP/1.1 401"));
-        bench.write_silently("k-1=ann k-2=bob");
+        *test_front.reachable.borrow_mut() = true;
+        assert!(
+            send_request(test_front.address, &request_text)
+                .await
+                .starts_with("HTTP/1.1 401")
+        );
+        test_front.write_without_notification("k-1=ann k-2=bob");
         let answer = loop {
-            let answer = ask(bench.front, &asked).await;
+            let answer = send_request(test_front.address, &request_text).await;
             if !answer.starts_with("HTTP/1.1 401") {
                 break answer;
             }
@@ -819,22 +867,24 @@
     .await;
 }
 
-/// A key that is taken away ends on connections that are open already.
+/// A removed key must also be rejected on connections opened before its removal.
 #[tokio::test]
-async fn a_removed_key_ends_on_an_open_connection() {
+async fn a_removed_key_is_rejected_on_an_open_connection() {
     let test = async {
-        let replica = Replica::start(&[SIGNED]).await;
-        let bench = start_with(&[&replica], "k-1=ann k-2=bob").await;
-        let kept = with_fields("POST", "/once/a", "Authorization: Bearer k-2\r\n")
+        let replica = Replica::start(&[SIGNED_RESPONSE]).await;
+        let test_front = start_with_routes(&[&replica], "k-1=ann k-2=bob").await;
+        let request = request_with_headers("POST", "/once/a", "Authorization: Bearer k-2\r\n")
             .replace("connection: close\r\n", "");
-        let mut caller = TcpStream::connect(bench.front).await.expect("connection");
+        let mut caller = TcpStream::connect(test_front.address)
+            .await
+            .expect("connection");
         let mut removed = false;
         loop {
-            caller.write_all(kept.as_bytes()).await.expect("request");
+            caller.write_all(request.as_bytes()).await.expect("request");
             let answer = read_message(&mut caller).await.expect("an answer");
             match (answer.starts_with("HTTP/1.1 200"), removed) {
                 (true, false) => {
-                    bench.configure("k-1=ann");
+                    test_front.configure("k-1=ann");
                     removed = true;
                 }
                 (true, true) => {}
@@ -845,21 +895,25 @@
             }
         }
     };
-    let in_time = local(tokio::time::timeout(PATIENCE, test)).await;
-    in_time.expect("in time");
+    let result = run_local(tokio::time::timeout(TEST_TIMEOUT, test)).await;
+    result.expect("the test must end in time");
 }
 
-/// No store answers: the front grants a small share of the limit by itself, and
-/// what it refuses was not run.
+/// Without a reachable quota owner the front grants only its share of the rate limit and
+/// forwards no rejected request.
 #[tokio::test]
-async fn a_front_that_reaches_no_owner_grants_its_share_only() {
-    local(async {
-        let replica = Replica::start(&[SIGNED]).await;
-        let bench = start_with(&[&replica], "k-1=ann/2 k-2=bob").await;
+async fn a_front_without_a_reachable_quota_owner_grants_only_its_share() {
+    run_local(async {
+        let replica = Replica::start(&[SIGNED_RESPONSE]).await;
+        let test_front = start_with_routes(&[&replica], "k-1=ann/2 k-2=bob").await;
         let mut statuses = Vec::new();
         for key in ["k-1", "k-1", "k-2", "k-2"] {
             let fields = format!("Authorization: Bearer {key}\r\n");
-            let answer = ask(bench.front, &with_fields("POST", "/once/a", &fields)).await;
+            let answer = send_request(
+                test_front.address,
+                &request_with_headers("POST", "/once/a", &fields),
+            )
+            .await;
             let refused = answer.starts_with("HTTP/1.1 429");
             assert_eq!(refused, answer.contains("retry-after: "), "{answer}");
             statuses.push(answer[9..12].to_owned());
@@ -870,226 +924,265 @@
     .await;
 }
 
-/// A request whose leave was granted ran nowhere: it is given back, so that its tenant
-/// may make another one. One that ran, or may have, is not.
+/// Quota is refunded for a request that no replica ran, and not for one that ran or may
+/// have run.
 #[tokio::test]
-async fn leave_is_given_back_for_what_has_not_run_and_for_nothing_else() {
+async fn quota_is_refunded_only_for_requests_that_did_not_run() {
     let test = async {
-        let replica = Replica::start(&[NOT_RUN, SIGNED, "CLOSE"]).await;
-        let store = Granting::start().await;
-        let bench = start_beside(&[&replica], "k-1=ann/2", Some(store.address)).await;
-        let asked = with_fields("POST", "/once/a", "Authorization: Bearer k-1\r\n");
+        let replica = Replica::start(&[NOT_RUN_RESPONSE, SIGNED_RESPONSE, "CLOSE"]).await;
+        let store = GrantingStore::start().await;
+        let test_front = start_with_store(&[&replica], "k-1=ann/2", Some(store.address)).await;
+        let request_text = request_with_headers("POST", "/once/a", "Authorization: Bearer k-1\r\n");
         for status in ["503", "200", "502"] {
-            let answer = ask(bench.front, &asked).await;
+            let answer = send_request(test_front.address, &request_text).await;
             assert_eq!(&answer[9..12], status, "{answer}");
         }
-        while store.returned.borrow().is_empty() {
+        while store.refunded.borrow().is_empty() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
         assert_eq!(store.granted.get(), 3);
-        assert_eq!(*store.returned.borrow(), [1]);
+        assert_eq!(*store.refunded.borrow(), [1]);
     };
-    let in_time = local(tokio::time::timeout(PATIENCE, test)).await;
-    in_time.expect("in time");
+    let result = run_local(tokio::time::timeout(TEST_TIMEOUT, test)).await;
+    result.expect("the test must end in time");
 }
 
-/// A replica runs a request and its answer is lost: what may be repeated is tried at
-/// another one in time; what may not is not.
+/// After a lost answer a repeatable request must be retried at another replica before
+/// its deadline; any other request must not be retried.
 #[tokio::test]
-async fn an_answer_that_does_not_come_is_asked_for_elsewhere_where_that_may_be() {
+async fn only_a_repeatable_request_is_retried_when_no_answer_comes() {
     let test = async {
-        // Each answers once. The second request goes to the one that has a connection.
+        // Each replica answers once. The second request reuses the idle connection.
         let replicas = [
-            Replica::start(&[SIGNED, ""]).await,
-            Replica::start(&[SIGNED, ""]).await,
+            Replica::start(&[SIGNED_RESPONSE, ""]).await,
+            Replica::start(&[SIGNED_RESPONSE, ""]).await,
         ];
-        let bench = start(&[&replicas[0], &replicas[1]]).await;
+        let test_front = start(&[&replicas[0], &replicas[1]]).await;
         for _ in 0..2 {
-            let began = tokio::time::Instant::now();
-            let answer = ask(bench.front, &request("GET", "/safe/a", "")).await;
+            let started_at = tokio::time::Instant::now();
+            let answer = send_request(test_front.address, &request("GET", "/safe/a", "")).await;
             assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
             assert!(
-                began.elapsed() < Duration::from_millis(700),
+                started_at.elapsed() < Duration::from_millis(700),
                 "{:?}",
-                began.elapsed()
+                started_at.elapsed()
             );
         }
         assert_eq!(replicas[0].count() + replicas[1].count(), 3);
-        let lone = Replica::start(&[""]).await;
-        let bench = start(&[&lone]).await;
-        let answer = ask(bench.front, &request("POST", "/once/a", "order")).await;
+        let single = Replica::start(&[""]).await;
+        let test_front = start(&[&single]).await;
+        let answer = send_request(test_front.address, &request("POST", "/once/a", "order")).await;
         assert!(answer.starts_with("HTTP/1.1 504"), "{answer}");
-        assert_eq!(lone.count(), 1);
-        // Nobody else is there to ask: the answer may still come.
-        let began = tokio::time::Instant::now();
-        let answer = ask(bench.front, &request("GET", "/safe/a", "")).await;
+        assert_eq!(single.count(), 1);
+        // Without another replica the front waits, as the answer may still arrive.
+        let started_at = tokio::time::Instant::now();
+        let answer = send_request(test_front.address, &request("GET", "/safe/a", "")).await;
         assert!(answer.starts_with("HTTP/1.1 504"), "{answer}");
-        assert!(began.elapsed() > Duration::from_millis(1200));
+        assert!(started_at.elapsed() > Duration::from_millis(1200));
     };
-    let in_time = local(tokio::time::timeout(PATIENCE, test)).await;
-    in_time.expect("in time");
+    let result = run_local(tokio::time::timeout(TEST_TIMEOUT, test)).await;
+    result.expect("the test must end in time");
 }
 
-fn ended(outcome: &str) -> u64 {
+fn ended_requests(outcome: &str) -> u64 {
     let requests = &stageyoke_observe::metrics().requests;
     requests.with_label_values(&["once", outcome]).get()
 }
 
-/// Its end is told though nothing of the request goes on.
+/// A request whose caller disconnects must still be logged and counted.
 #[tokio::test]
-async fn a_caller_that_leaves_before_the_answer_leaves_a_line() {
+async fn a_request_whose_caller_disconnects_is_counted() {
     let test = async {
         let silent = "";
         let replica = Replica::start(&[silent]).await;
-        let bench = start(&[&replica]).await;
-        let before = ended("caller_left");
-        let mut caller = TcpStream::connect(bench.front).await.expect("connection");
-        let asked = request("POST", "/once/a", "order");
-        caller.write_all(asked.as_bytes()).await.expect("request");
+        let test_front = start(&[&replica]).await;
+        let before = ended_requests("caller_left");
+        let mut caller = TcpStream::connect(test_front.address)
+            .await
+            .expect("connection");
+        let request_text = request("POST", "/once/a", "order");
+        caller
+            .write_all(request_text.as_bytes())
+            .await
+            .expect("request");
         while replica.count() == 0 {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
         drop(caller);
-        while ended("caller_left") == before {
+        while ended_requests("caller_left") == before {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     };
-    let in_time = local(tokio::time::timeout(Duration::from_secs(1), test)).await;
-    in_time.expect("told before the request's own deadline");
+    let result = run_local(tokio::time::timeout(Duration::from_secs(1), test)).await;
+    result.expect("counted before the request's deadline");
 }
 
-/// A refusal by idle replicas is told apart from a want of room, and counts against
-/// none of them.
+/// Rejections by idle replicas are counted apart from overload and must not lower the
+/// health estimate of any replica.
 #[tokio::test]
-async fn what_several_idle_replicas_refuse_has_a_cause_of_its_own() {
-    local(async {
-        let first = Replica::start(&[NOT_RUN, NOT_RUN, SIGNED]).await;
-        let second = Replica::start(&[NOT_RUN, NOT_RUN, SIGNED]).await;
-        let bench = start(&[&first, &second]).await;
-        let before = ended("refused_while_idle");
-        let asked = request("POST", "/once/a", "order");
+async fn rejection_by_several_idle_replicas_has_its_own_outcome() {
+    run_local(async {
+        let first = Replica::start(&[NOT_RUN_RESPONSE, NOT_RUN_RESPONSE, SIGNED_RESPONSE]).await;
+        let second = Replica::start(&[NOT_RUN_RESPONSE, NOT_RUN_RESPONSE, SIGNED_RESPONSE]).await;
+        let test_front = start(&[&first, &second]).await;
+        let before = ended_requests("refused_while_idle");
+        let request_text = request("POST", "/once/a", "order");
         for _ in 0..2 {
-            assert!(ask(bench.front, &asked).await.starts_with("HTTP/1.1 503"));
+            assert!(
+                send_request(test_front.address, &request_text)
+                    .await
+                    .starts_with("HTTP/1.1 503")
+            );
         }
-        assert_eq!(ended("refused_while_idle"), before + 2);
-        assert!(ask(bench.front, &asked).await.starts_with("HTTP/1.1 200"));
-        let single = Replica::start(&[NOT_RUN]).await;
-        let bench = start(&[&single]).await;
-        let before = ended("no_replica");
-        assert!(ask(bench.front, &asked).await.starts_with("HTTP/1.1 503"));
-        assert_eq!(ended("no_replica"), before + 1);
+        assert_eq!(ended_requests("refused_while_idle"), before + 2);
+        assert!(
+            send_request(test_front.address, &request_text)
+                .await
+                .starts_with("HTTP/1.1 200")
+        );
+        let single = Replica::start(&[NOT_RUN_RESPONSE]).await;
+        let test_front = start(&[&single]).await;
+        let before = ended_requests("no_replica");
+        assert!(
+            send_request(test_front.address, &request_text)
+                .await
+                .starts_with("HTTP/1.1 503")
+        );
+        assert_eq!(ended_requests("no_replica"), before + 1);
     })
     .await;
 }
 
 #[tokio::test]
-async fn bad_requests_get_their_own_answers() {
-    local(async {
-        let replica = Replica::start(&[SIGNED]).await;
-        let bench = start(&[&replica]).await;
-        let nameless = "GET /safe/a HTTP/1.1\r\nhost: host\r\nconnection: close\r\n\r\n";
-        assert!(ask(bench.front, nameless).await.starts_with("HTTP/1.1 400"));
+async fn invalid_requests_are_answered_with_400_or_413() {
+    run_local(async {
+        let replica = Replica::start(&[SIGNED_RESPONSE]).await;
+        let test_front = start(&[&replica]).await;
+        let without_id = "GET /safe/a HTTP/1.1\r\nhost: host\r\nconnection: close\r\n\r\n";
+        assert!(
+            send_request(test_front.address, without_id)
+                .await
+                .starts_with("HTTP/1.1 400")
+        );
         let large = request("POST", "/once/a", &"x".repeat(2_000));
-        assert!(ask(bench.front, &large).await.starts_with("HTTP/1.1 413"));
+        assert!(
+            send_request(test_front.address, &large)
+                .await
+                .starts_with("HTTP/1.1 413")
+        );
         assert_eq!(replica.count(), 0);
     })
     .await;
 }
 
-/// Requests hold a part of the front's memory, from the moment at which their
-/// length is told until they are answered; what finds none left is refused
-/// without having run, and finds it again later.
+/// A request that exceeds the memory limit must be rejected without running, and the
+/// memory must be released when the other request ends.
 #[tokio::test]
-async fn a_request_for_which_there_is_no_memory_is_refused_and_may_come_back() {
+async fn a_request_over_the_memory_limit_is_rejected_until_memory_is_released() {
     let test = async {
-        let replica = Replica::start(&[SIGNED]).await;
-        let bench = start(&[&replica]).await;
+        let replica = Replica::start(&[SIGNED_RESPONSE]).await;
+        let test_front = start(&[&replica]).await;
         let whole = request("POST", "/once/a", &"x".repeat(600));
-        let mut slow = TcpStream::connect(bench.front).await.expect("connection");
-        let begun = &whole.as_bytes()[..whole.len() - 300];
-        slow.write_all(begun).await.expect("half of the body");
+        let mut slow = TcpStream::connect(test_front.address)
+            .await
+            .expect("connection");
+        let partial_request = &whole.as_bytes()[..whole.len() - 300];
+        slow.write_all(partial_request)
+            .await
+            .expect("half of the body");
         let refused = loop {
-            // Until the front has read the head of the first.
-            let answer = ask(bench.front, &whole).await;
+            // Repeats until the front has read the head of the slow request.
+            let answer = send_request(test_front.address, &whole).await;
             if !answer.starts_with("HTTP/1.1 200") {
                 break answer;
             }
         };
         assert!(refused.starts_with("HTTP/1.1 503"), "{refused}");
         assert!(refused.to_lowercase().contains("retry-after"), "{refused}");
-        let ran = replica.count();
+        let run_count = replica.count();
         assert!(
-            ask(bench.front, &request("GET", "/safe/a", ""))
+            send_request(test_front.address, &request("GET", "/safe/a", ""))
                 .await
                 .starts_with("HTTP/1.1 200")
         );
         drop(slow);
-        while !ask(bench.front, &whole).await.starts_with("HTTP/1.1 200") {
+        while !send_request(test_front.address, &whole)
+            .await
+            .starts_with("HTTP/1.1 200")
+        {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        assert_eq!(replica.count(), ran + 2, "what was refused was not run");
+        assert_eq!(
+            replica.count(),
+            run_count + 2,
+            "a rejected request must not run"
+        );
     };
-    let in_time = local(tokio::time::timeout(PATIENCE, test)).await;
-    in_time.expect("in time");
+    let result = run_local(tokio::time::timeout(TEST_TIMEOUT, test)).await;
+    result.expect("the test must end in time");
 }
 
-fn turn_of(program: &str) -> String {
+fn turn_request(program: &str) -> String {
     let turn = request("POST", "/stream/a", "");
     let headers = format!("program: {program}\r\nbudget: 100\r\ntokens: 10,5\r\n");
     turn.replace("connection: close", &format!("{headers}connection: close"))
 }
 
-/// In a burst all programs began, and waited at engines until their callers had gone. A
-/// new one is turned away before anything is reserved for it, and those that have begun
-/// go on, also one that this front has not met.
+/// While engines are full, a new program must be rejected before anything is reserved for
+/// it. Started programs go on, also those that started at another front.
 #[rstest]
 #[case::while_engines_are_full(true, 400, false, false)]
-#[case::not_while_a_place_is_free(true, 3, false, true)]
-#[case::not_beside_a_store_that_tells_nothing(true, 400, true, true)]
-#[case::not_where_the_operator_does_not_say_so(false, 400, false, true)]
+#[case::not_while_a_slot_is_free(true, 3, false, true)]
+#[case::not_with_a_store_that_reports_nothing(true, 400, true, true)]
+#[case::not_without_admission_control(false, 400, false, true)]
 #[tokio::test]
-async fn a_program_begins_only_where_there_is_room(
+async fn a_new_program_is_admitted_only_while_engines_have_free_slots(
     #[case] admission_control: bool,
-    #[case] under_way: u16,
+    #[case] in_flight: u16,
     #[case] first_version: bool,
-    #[case] begins: bool,
+    #[case] admitted: bool,
 ) {
-    local(async {
-        let replica = Replica::start(&[SIGNED]).await;
-        let store = Telling::start(under_way, first_version).await;
+    run_local(async {
+        let replica = Replica::start(&[SIGNED_RESPONSE]).await;
+        let store = ReportingStore::start(in_flight, first_version).await;
         let routes = ENGINES;
-        let bench =
-            start_controlled(&[&replica], routes, Some(store.address), admission_control).await;
-        // What others have under way comes with the first reservation.
-        let first = ask(bench.front, &turn_of("first")).await;
+        let test_front = start_with_admission_control(
+            &[&replica],
+            routes,
+            Some(store.address),
+            admission_control,
+        )
+        .await;
+        // The first reservation's reply reports the turns in flight at other fronts.
+        let first = send_request(test_front.address, &turn_request("first")).await;
         assert!(first.starts_with("HTTP/1.1 200"), "{first}");
-        let second = ask(bench.front, &turn_of("second")).await;
-        assert_eq!(second.starts_with("HTTP/1.1 200"), begins, "{second}");
-        if !begins {
+        let second = send_request(test_front.address, &turn_request("second")).await;
+        assert_eq!(second.starts_with("HTTP/1.1 200"), admitted, "{second}");
+        if !admitted {
             assert!(second.starts_with("HTTP/1.1 503"), "{second}");
             assert!(second.to_lowercase().contains("retry-after"), "{second}");
         }
-        for program in ["first", BEGUN] {
-            let next = ask(bench.front, &turn_of(program)).await;
+        for program in ["first", STARTED_PROGRAM] {
+            let next = send_request(test_front.address, &turn_request(program)).await;
             assert!(next.starts_with("HTTP/1.1 200"), "{program}: {next}");
         }
         let reserved = store.reserved.borrow();
         let reserves = |program: &str| reserved.iter().any(|reserved| reserved == program);
-        assert_eq!(reserves("second"), begins, "{reserved:?}");
-        assert_eq!(replica.count(), 3 + usize::from(begins));
+        assert_eq!(reserves("second"), admitted, "{reserved:?}");
+        assert_eq!(replica.count(), 3 + usize::from(admitted));
     })
     .await;
 }
 
-/// What a front remembers of programs has a bound; the oldest go first.
+/// The set of started programs is bounded and evicts the oldest first.
 #[test]
-fn programs_that_have_begun_are_remembered_within_a_bound() {
-    let begun = StartedPrograms::default();
+fn the_set_of_started_programs_is_bounded() {
+    let started_programs = StartedPrograms::default();
     for program in 0..10_000 {
-        begun.record(&program.to_string());
-        begun.record("0");
+        started_programs.record(&program.to_string());
+        started_programs.record("0");
     }
-    assert_eq!(begun.len(), 4096);
-    assert!(begun.has_started("9999") && !begun.has_started("1"));
+    assert_eq!(started_programs.len(), 4096);
+    assert!(started_programs.has_started("9999") && !started_programs.has_started("1"));
 }
--- a/crates/stageyoke-front/tests/health_test.rs
+++ b/crates/stageyoke-front/tests/health_test.rs
@@ -1,4 +1,4 @@
-//! Which replicas are offered work after failures, in virtual time.
+//! Replica selection after failures and removals, in virtual time.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -20,8 +20,8 @@
 use tokio::time::Instant;
 
 const SERVICE: &str = "service";
-/// How long entries may come back after an absence of the service.
-const BACK_WITHIN: Duration = Duration::from_secs(1);
+/// How long lapsed entries stay usable after a service outage.
+const LAPSE_GRACE: Duration = Duration::from_secs(1);
 
 fn records(replicas: u8) -> BTreeMap<Text, ReplicaRecord> {
     let record = |number: u8| ReplicaRecord {
@@ -37,19 +37,19 @@
         .collect()
 }
 
-fn fleet(replicas: u8) -> (ReplicaRegistry, Rc<LoadTracker>) {
-    let board = Rc::new(LoadTracker::new(1));
-    let fleet = ReplicaRegistry::new(board.clone());
-    fleet.apply_list(&records(replicas), None);
-    (fleet, board)
+fn registry(replicas: u8) -> (ReplicaRegistry, Rc<LoadTracker>) {
+    let tracker = Rc::new(LoadTracker::new(1));
+    let registry = ReplicaRegistry::new(tracker.clone());
+    registry.apply_list(&records(replicas), None);
+    (registry, tracker)
 }
 
-fn choose(fleet: &ReplicaRegistry, repeatable: bool, tie: u64) -> Rc<Replica> {
-    find(fleet, repeatable, tie).expect("a replica")
+fn choose_replica(registry: &ReplicaRegistry, repeatable: bool, tie: u64) -> Rc<Replica> {
+    find_replica(registry, repeatable, tie).expect("a replica")
 }
 
-fn find(fleet: &ReplicaRegistry, repeatable: bool, tie: u64) -> Option<Rc<Replica>> {
-    let wanted = ReplicaQuery {
+fn find_replica(registry: &ReplicaRegistry, repeatable: bool, tie: u64) -> Option<Rc<Replica>> {
+    let query = ReplicaQuery {
         group: None,
         service: SERVICE,
         zone: "zone",
@@ -58,51 +58,51 @@
         repeatable,
     };
     let choose = |candidates: &[Candidate]| placement::choose_plain(candidates, tie);
-    fleet.choose(&wanted, choose)
+    registry.choose(&query, choose)
 }
 
-/// How often each of many requests goes to this replica.
-fn offers(fleet: &ReplicaRegistry, replica: &Replica, repeatable: bool) -> usize {
+/// Counts how many of 64 requests are placed on the replica.
+fn count_placements(registry: &ReplicaRegistry, replica: &Replica, repeatable: bool) -> usize {
     (0..64)
-        .filter(|tie| choose(fleet, repeatable, *tie).id == replica.id)
+        .filter(|tie| choose_replica(registry, repeatable, *tie).id == replica.id)
         .count()
 }
 
-fn lose(replica: &Replica, answers: u32) {
+fn record_lost_answers(replica: &Replica, answers: u32) {
     for _ in 0..answers {
         replica.record(Evidence::Lost);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn lost_answers_keep_away_first_what_may_run_only_once() {
-    let (fleet, _) = fleet(3);
-    let bad = choose(&fleet, false, 0);
-    let offered = || {
+async fn lost_answers_exclude_non_repeatable_requests_first() {
+    let (registry, _) = registry(3);
+    let failing = choose_replica(&registry, false, 0);
+    let placements = || {
         (
-            offers(&fleet, &bad, false) > 0,
-            offers(&fleet, &bad, true) > 0,
+            count_placements(&registry, &failing, false) > 0,
+            count_placements(&registry, &failing, true) > 0,
         )
     };
-    let mut seen = vec![offered()];
+    let mut observed = vec![placements()];
     for _ in 0..4 {
-        lose(&bad, 1);
-        seen.push(offered());
+        record_lost_answers(&failing, 1);
+        observed.push(placements());
     }
     let (all, repeatable, nothing) = ((true, true), (false, true), (false, false));
-    assert_eq!(seen, [all, all, repeatable, repeatable, nothing]);
+    assert_eq!(observed, [all, all, repeatable, repeatable, nothing]);
     tokio::time::advance(Duration::from_secs(3)).await;
-    assert_eq!(offered(), all, "it is tried again");
+    assert_eq!(placements(), all, "the replica must be tried again");
 }
 
-/// Half of the replicas lose one answer in twenty: they stay in use, as the
-/// others could not carry all the work.
+/// Replicas that lose one answer in twenty must stay in use, as the rest could not carry
+/// the whole load.
 #[tokio::test(start_paused = true)]
-async fn seldom_losses_at_many_replicas_move_no_work() {
-    let (fleet, _) = fleet(4);
+async fn rare_losses_at_many_replicas_exclude_none() {
+    let (registry, _) = registry(4);
     let mut requests: BTreeMap<Text, u32> = BTreeMap::new();
     for round in 0..800_u64 {
-        let replica = choose(&fleet, false, round);
+        let replica = choose_replica(&registry, false, round);
         let number = requests.entry(replica.id.clone()).or_default();
         *number += 1;
         let evidence = match *number % 20 {
@@ -110,93 +110,100 @@
             _ => Evidence::Sound,
         };
         replica.record(evidence);
-        assert!(offers(&fleet, &replica, false) > 0, "round {round}");
+        assert!(
+            count_placements(&registry, &replica, false) > 0,
+            "round {round}"
+        );
         tokio::time::advance(Duration::from_millis(30)).await;
     }
 }
 
-/// A replica that went down resets at once what comes over kept connections.
+/// A single reset on a reused connection can mean that the replica is down, so it must not
+/// receive non-repeatable requests.
 #[tokio::test(start_paused = true)]
-async fn one_reset_at_once_keeps_away_what_may_run_only_once() {
-    let (fleet, board) = fleet(3);
-    let bad = choose(&fleet, false, 0);
-    bad.record(Evidence::Reset);
-    assert_eq!(offers(&fleet, &bad, false), 0);
+async fn one_reset_excludes_non_repeatable_requests() {
+    let (registry, tracker) = registry(3);
+    let failing = choose_replica(&registry, false, 0);
+    failing.record(Evidence::Reset);
+    assert_eq!(count_placements(&registry, &failing, false), 0);
     assert!(
-        offers(&fleet, &bad, true) > 0,
-        "what may be repeated asks it"
+        count_placements(&registry, &failing, true) > 0,
+        "repeatable requests must still probe it"
     );
     assert_eq!(
-        board.report(GroupNumber(0)).suspects.len(),
+        tracker.report(GroupNumber(0)).suspects.len(),
         1,
-        "and others are told"
+        "the suspicion must be reported"
     );
-    bad.record(Evidence::Reset);
-    assert_eq!(offers(&fleet, &bad, true), 0);
+    failing.record(Evidence::Reset);
+    assert_eq!(count_placements(&registry, &failing, true), 0);
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_unreachable_replica_is_suspended_at_once() {
-    let (fleet, _) = fleet(3);
-    let bad = choose(&fleet, false, 0);
-    bad.record(Evidence::Unreachable);
-    assert_eq!(offers(&fleet, &bad, true), 0);
+    let (registry, _) = registry(3);
+    let failing = choose_replica(&registry, false, 0);
+    failing.record(Evidence::Unreachable);
+    assert_eq!(count_placements(&registry, &failing, true), 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_answer_restores_trust_sooner_than_time() {
-    let (fleet, _) = fleet(3);
-    let bad = choose(&fleet, false, 0);
-    lose(&bad, 2);
-    assert_eq!(offers(&fleet, &bad, false), 0);
-    bad.record(Evidence::Sound);
-    bad.record(Evidence::Sound);
-    assert!(offers(&fleet, &bad, false) > 0);
+async fn successful_answers_restore_a_replica_without_waiting() {
+    let (registry, _) = registry(3);
+    let failing = choose_replica(&registry, false, 0);
+    record_lost_answers(&failing, 2);
+    assert_eq!(count_placements(&registry, &failing, false), 0);
+    failing.record(Evidence::Sound);
+    failing.record(Evidence::Sound);
+    assert!(count_placements(&registry, &failing, false) > 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn failing_replicas_are_used_where_there_is_no_other() {
-    let (fleet, _) = fleet(1);
-    let only = choose(&fleet, false, 0);
+async fn a_failing_replica_is_used_if_it_is_the_only_one() {
+    let (registry, _) = registry(1);
+    let only = choose_replica(&registry, false, 0);
     only.record(Evidence::Unreachable);
-    assert_eq!(offers(&fleet, &only, false), 64);
+    assert_eq!(count_placements(&registry, &only, false), 64);
 }
 
-/// A front that has sent nothing to a replica learns from others, through a
-/// store, that it fails them; the word of a single one excludes nothing.
+/// Fronts learn of failing replicas from each other's reports, relayed by a store; the
+/// report of a single front must not exclude a replica.
 #[tokio::test(start_paused = true)]
-async fn fronts_learn_of_failing_replicas_from_one_another() {
-    let (own, board) = fleet(3);
-    let bad = choose(&own, false, 0);
+async fn reports_of_several_fronts_exclude_a_failing_replica() {
+    let (own, tracker) = registry(3);
+    let failing = choose_replica(&own, false, 0);
     let store = LoadReports::default();
-    let hear = || board.apply_report(GroupNumber(0), store.report_excluding(1));
-    let mut offered = Vec::new();
+    let apply_store_report = || tracker.apply_report(GroupNumber(0), store.report_excluding(1));
+    let mut placements = Vec::new();
     for front in 2..=4 {
-        let other = Rc::new(LoadTracker::new(front));
-        let others = ReplicaRegistry::new(other.clone());
-        let record = bad.record.clone();
-        others.apply_list(&BTreeMap::from([(bad.id.clone(), record)]), None);
-        lose(&choose(&others, false, 0), 2);
-        store.update(other.report(GroupNumber(0)));
-        hear();
-        offered.push((offers(&own, &bad, false) > 0, offers(&own, &bad, true) > 0));
+        let other_tracker = Rc::new(LoadTracker::new(front));
+        let other_registry = ReplicaRegistry::new(other_tracker.clone());
+        let record = failing.record.clone();
+        other_registry.apply_list(&BTreeMap::from([(failing.id.clone(), record)]), None);
+        record_lost_answers(&choose_replica(&other_registry, false, 0), 2);
+        store.update(other_tracker.report(GroupNumber(0)));
+        apply_store_report();
+        placements.push((
+            count_placements(&own, &failing, false) > 0,
+            count_placements(&own, &failing, true) > 0,
+        ));
     }
-    assert_eq!(offered, [(true, true), (false, true), (false, false)]);
+    assert_eq!(placements, [(true, true), (false, true), (false, false)]);
     tokio::time::advance(Duration::from_secs(2)).await;
-    hear();
+    apply_store_report();
     assert!(
-        offers(&own, &bad, false) > 0,
-        "reports of the past are forgotten"
+        count_placements(&own, &failing, false) > 0,
+        "old reports must expire"
     );
 }
 
 #[tokio::test(start_paused = true)]
-async fn reports_stay_bounded() {
-    let board = LoadTracker::new(1);
+async fn reports_of_suspects_are_bounded_and_expire() {
+    let tracker = LoadTracker::new(1);
     for replica in 0..10_000 {
-        board.suspect(replica, Duration::from_secs(1));
+        tracker.suspect(replica, Duration::from_secs(1));
     }
-    let report = board.report(GroupNumber(0));
+    let report = tracker.report(GroupNumber(0));
     assert_eq!(
         report.suspects.len(),
         stageyoke_store::load::MAX_SUSPECTED_REPLICAS
@@ -215,89 +222,97 @@
         suspects.len(),
         stageyoke_store::load::MAX_SUSPECTED_REPLICAS
     );
-    board.suspect(1, Duration::ZERO);
+    tracker.suspect(1, Duration::ZERO);
     tokio::time::advance(Duration::from_secs(2)).await;
-    assert!(board.report(GroupNumber(0)).suspects.is_empty());
+    assert!(tracker.report(GroupNumber(0)).suspects.is_empty());
 }
 
-/// Entries go while the key-value service is down, and come back after it.
+/// Entries that lapse in a service outage must stay usable until their deadline, and no
+/// longer.
 #[tokio::test(start_paused = true)]
-async fn replicas_whose_entries_lapse_together_serve_on_for_a_while() {
-    let (fleet, _) = fleet(4);
-    fleet.apply_list(&BTreeMap::new(), Some(Instant::now() + BACK_WITHIN));
-    assert!(find(&fleet, false, 0).is_some());
-    tokio::time::advance(BACK_WITHIN / 2).await;
-    fleet.apply_list(&records(1), None);
-    let back = choose(&fleet, false, 0).id.clone();
-    assert!(!fleet.has_expired_lapses());
-    tokio::time::advance(BACK_WITHIN / 2).await;
+async fn lapsed_entries_are_used_until_their_deadline() {
+    let (registry, _) = registry(4);
+    registry.apply_list(&BTreeMap::new(), Some(Instant::now() + LAPSE_GRACE));
+    assert!(find_replica(&registry, false, 0).is_some());
+    tokio::time::advance(LAPSE_GRACE / 2).await;
+    registry.apply_list(&records(1), None);
+    let back = choose_replica(&registry, false, 0).id.clone();
+    assert!(!registry.has_expired_lapses());
+    tokio::time::advance(LAPSE_GRACE / 2).await;
     let left: Vec<Text> = (0..32)
-        .map(|tie| choose(&fleet, false, tie).id.clone())
+        .map(|tie| choose_replica(&registry, false, tie).id.clone())
         .collect();
     assert!(
         left.iter().all(|id| id.as_str() == "replica-0"),
         "{back} {left:?}"
     );
-    assert!(fleet.has_expired_lapses());
-    fleet.apply_list(&records(1), None);
-    assert!(!fleet.has_expired_lapses());
-    fleet.apply_list(&BTreeMap::new(), Some(Instant::now() + BACK_WITHIN));
-    tokio::time::advance(BACK_WITHIN).await;
-    assert!(find(&fleet, false, 0).is_none(), "a lapse ends");
+    assert!(registry.has_expired_lapses());
+    registry.apply_list(&records(1), None);
+    assert!(!registry.has_expired_lapses());
+    registry.apply_list(&BTreeMap::new(), Some(Instant::now() + LAPSE_GRACE));
+    tokio::time::advance(LAPSE_GRACE).await;
+    assert!(
+        find_replica(&registry, false, 0).is_none(),
+        "a lapsed entry must expire"
+    );
 }
 
-/// Whatever share of the entries goes: without an absence of the service in which
-/// they may have run out, or with one that is over, they have ended.
+/// Entries that disappear without a service outage, or after the deadline for lapsed
+/// entries, must not be used, however many disappear at once.
 #[rstest]
-#[case::all_of_them(4, 0, None)]
-#[case::one_of_three(3, 2, None)]
-#[case::the_only_one(1, 0, None)]
-#[case::none_is_due_any_more(4, 0, Some(Duration::ZERO))]
+#[case::all_entries(4, 0, None)]
+#[case::one_of_three_entries(3, 2, None)]
+#[case::the_only_entry(1, 0, None)]
+#[case::after_the_deadline(4, 0, Some(Duration::ZERO))]
 #[tokio::test(start_paused = true)]
-async fn entries_that_have_ended_get_nothing_more(
+async fn removed_entries_receive_no_requests(
     #[case] before: u8,
     #[case] after: u8,
-    #[case] back_within: Option<Duration>,
+    #[case] grace: Option<Duration>,
 ) {
-    let (fleet, _) = fleet(before);
-    let until = back_within.map(|within| Instant::now() + within);
-    fleet.apply_list(&records(after), until);
-    let offered: Vec<Text> = (0..64)
-        .filter_map(|tie| find(&fleet, false, tie))
+    let (registry, _) = registry(before);
+    let deadline = grace.map(|grace_period| Instant::now() + grace_period);
+    registry.apply_list(&records(after), deadline);
+    let placements: Vec<Text> = (0..64)
+        .filter_map(|tie| find_replica(&registry, false, tie))
         .map(|replica| replica.id.clone())
         .collect();
     let listed = records(after);
     assert!(
-        offered.iter().all(|id| listed.contains_key(id)),
-        "{offered:?}"
+        placements.iter().all(|id| listed.contains_key(id)),
+        "{placements:?}"
     );
-    assert_eq!(offered.is_empty(), after == 0);
+    assert_eq!(placements.is_empty(), after == 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn replicas_that_drain_or_leave_one_by_one_get_nothing_more() {
-    let (fleet, _) = fleet(8);
-    let mut rest = records(8);
-    rest.remove("replica-7");
-    fleet.apply_list(&rest, None);
-    let chosen = |fleet: &ReplicaRegistry| -> Vec<Text> {
+async fn draining_and_removed_replicas_receive_no_requests() {
+    let (registry, _) = registry(8);
+    let mut remaining = records(8);
+    remaining.remove("replica-7");
+    registry.apply_list(&remaining, None);
+    let chosen = |registry: &ReplicaRegistry| -> Vec<Text> {
         (0..64)
-            .map(|tie| choose(fleet, false, tie).id.clone())
+            .map(|tie| choose_replica(registry, false, tie).id.clone())
             .collect()
     };
-    assert!(chosen(&fleet).iter().all(|id| id.as_str() != "replica-7"));
-    for record in rest.values_mut() {
+    assert!(
+        chosen(&registry)
+            .iter()
+            .all(|id| id.as_str() != "replica-7")
+    );
+    for record in remaining.values_mut() {
         record.state = ReplicaState::Draining;
     }
-    fleet.apply_list(&rest, None);
-    assert!(find(&fleet, false, 0).is_none());
+    registry.apply_list(&remaining, None);
+    assert!(find_replica(&registry, false, 0).is_none());
 }
 
 proptest! {
-    /// The estimate stays a likelihood, falls with time, and `cautious_for`
-    /// names the moment at which it crosses the limit.
+    /// The estimate must stay a probability and fall with time, and `time_above_caution`
+    /// must give the time until it reaches the threshold.
     #[test]
-    fn an_estimate_is_a_likelihood_that_fades(
+    fn the_failure_estimate_is_a_probability_that_decays(
         outcomes in proptest::collection::vec((0_u8..5, 0_u64..2_000), 1..40),
         reports in 0_u16..40,
     ) {
--- a/crates/stageyoke-front/tests/list_end/service.rs
+++ b/crates/stageyoke-front/tests/list_end/service.rs
@@ -1,5 +1,5 @@
-//! A key-value service that holds replicas' entries: it can be away, when entries run
-//! out, and it can be out of reach for one follower.
+//! Fake key-value service that can be unavailable to all clients or unreachable for a
+//! single one.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -12,21 +12,21 @@
     WatchOutcome,
 };
 
-const ANSWER: Duration = Duration::from_millis(4);
-const POLL: Duration = Duration::from_millis(20);
+const RESPONSE_DELAY: Duration = Duration::from_millis(4);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The service.
+/// Key-value service with its items and its change history since the last compaction.
 #[derive(Default)]
 pub struct Service {
     away: Cell<bool>,
     revision: Cell<u64>,
     items: RefCell<BTreeMap<String, Item>>,
     history: RefCell<Vec<Change>>,
-    forgotten: Cell<u64>,
+    compacted_revision: Cell<u64>,
 }
 
 impl Service {
-    /// Writes an entry, or takes it away.
+    /// Writes an item, or removes it if `value` is `None`.
     pub fn write(&self, key: &str, value: Option<&str>) {
         let revision = self.revision.get() + 1;
         let mut items = self.items.borrow_mut();
@@ -50,7 +50,7 @@
         self.history.borrow_mut().push(change);
     }
 
-    /// Whether it answers nobody.
+    /// Sets whether the service is unavailable to all clients.
     pub fn set_away(&self, away: bool) {
         self.away.set(away);
     }
@@ -62,28 +62,28 @@
         newer.cloned().collect()
     }
 
-    /// Forgets its history.
+    /// Drops the change history, so that watches from older revisions fail.
     pub fn compact(&self) {
-        self.forgotten.set(self.revision.get());
+        self.compacted_revision.set(self.revision.get());
         self.history.borrow_mut().clear();
     }
 }
 
-/// One follower's way to the service.
+/// One client's connection to the service.
 #[derive(Clone)]
 pub struct Link {
-    /// The service.
+    /// Service that the connection leads to.
     pub service: Rc<Service>,
-    /// Whether nothing passes; calls that meet it are lost for good.
+    /// Whether the connection is cut; a call made or answered meanwhile never completes.
     pub cut: Rc<Cell<bool>>,
 }
 
 impl Link {
-    async fn pass(&self) {
-        let blocked = || self.cut.get() || self.service.away.get();
-        let lost = blocked();
-        tokio::time::sleep(ANSWER).await;
-        if lost || blocked() {
+    async fn pass_call(&self) {
+        let is_blocked = || self.cut.get() || self.service.away.get();
+        let was_blocked = is_blocked();
+        tokio::time::sleep(RESPONSE_DELAY).await;
+        if was_blocked || is_blocked() {
             std::future::pending::<()>().await;
         }
     }
@@ -91,12 +91,12 @@
 
 impl KeyValueService for Link {
     async fn get(&self, key: &str) -> Result<Option<Item>, KeyValueError> {
-        self.pass().await;
+        self.pass_call().await;
         Ok(self.service.items.borrow().get(key).cloned())
     }
 
     async fn range(&self, _: &str, _: Option<&str>) -> Result<RangePage, KeyValueError> {
-        self.pass().await;
+        self.pass_call().await;
         Ok(RangePage {
             items: self.service.items.borrow().values().cloned().collect(),
             more: false,
@@ -112,8 +112,8 @@
     ) -> Result<WatchOutcome, KeyValueError> {
         let until = tokio::time::Instant::now() + wait;
         loop {
-            self.pass().await;
-            if after < self.service.forgotten.get() {
+            self.pass_call().await;
+            if after < self.service.compacted_revision.get() {
                 return Ok(WatchOutcome::HistoryCompacted);
             }
             let changes = self.service.changes_after(after);
@@ -121,7 +121,7 @@
                 let revision = self.service.revision.get();
                 return Ok(WatchOutcome::Changes { changes, revision });
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
--- a/crates/stageyoke-front/tests/left_replica_test.rs
+++ b/crates/stageyoke-front/tests/replica_removal_test.rs
@@ -1,21 +1,6 @@
-//! A front sent requests to a replica that had left, 12 s after its entry had gone,
-//! where 2 s are allowed. It had been cut off from everything for 10 s, and was back
-//! for 3 s. Why it could: one of a service's three entries gone at once counted as a
-//! lapse, entries that had run out while the key-value service was away, and a replica
-//! that lapsed is used for half of the bound from when the front learns of it. Nobody
-//! looked at whether the service had been away at all: a front that was cut off took
-//! its own silence for the service's, and fronts that were never cut off did the same
-//! while the service answered all along. So learning late and using longer add up,
-//! and nothing bounds the sum.
-//!
-//! What settled it, at a front that was cut off from 6.0 s to 17.0 s and one that was
-//! not, while one of three replicas left at 8.0 s:
-//!
-//! ```text
-//! 17.9389 front-dar-hall-c-2 ReplicasLapsed service=cura67b left=1 of=3
-//! 18.5987 front-dar-hall-c-2 RequestEnded attempts=i-ffc1d4bc97=no_answer (the replica that left)
-//!  8.0659 front-dar-hall-b-3 ReplicasLapsed service=xano55b left=1 of=3
-//! ```
+//! A front must stop placing requests on a replica within the change bound after it learns
+//! that the replica was removed. A disconnection of the front itself must not count as a
+//! service outage, which would let the front go on using the removed entry as lapsed.
 
 #[path = "support/list.rs"]
 mod list;
@@ -27,7 +12,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use list::Words;
+use list::TestInterpreter;
 use stageyoke_directory::{
     Change, Item, KeyValueError, KeyValueService, Mirror, RangePage, Transaction,
     TransactionOutcome, WatchOutcome,
@@ -40,38 +25,37 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
-/// Time in which a change of the list must be in force.
+/// Time within which a change of the replica list must take effect.
 const CHANGE_BOUND: Duration = Duration::from_secs(2);
-/// Longer than an answer may take, so that the front knows that it hears nothing.
-const CUT_OFF_FOR: Duration = Duration::from_millis(2_500);
-/// A front has the list at once when it is told; requests sent before it was may
-/// still be on their way.
-const ON_THEIR_WAY: Duration = Duration::from_millis(100);
-/// Only reached where a test fails.
-const PATIENCE: Duration = Duration::from_secs(20);
-
-/// A service of three entries, one of which goes.
+/// Longer than the call timeout, so that the front detects that it is disconnected.
+const DISCONNECTION: Duration = Duration::from_millis(2_500);
+/// Requests sent before the front received the change may arrive this much later.
+const DELIVERY_TIME: Duration = Duration::from_millis(100);
+/// Limits how long a failing test can hang.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// Fake key-value service with three replica entries, one of which can be removed.
 #[derive(Default)]
-struct Service {
+struct FakeService {
     replicas: Vec<SocketAddr>,
-    silent: Cell<bool>,
-    left: Cell<Option<usize>>,
-    told_at: Cell<Option<Instant>>,
+    disconnected: Cell<bool>,
+    removed_replica: Cell<Option<usize>>,
+    reported_at: Cell<Option<Instant>>,
 }
 
-const FIRST_REVISION: u64 = 1;
-const LEFT_REVISION: u64 = 2;
+const INITIAL_REVISION: u64 = 1;
+const REMOVAL_REVISION: u64 = 2;
 
-impl Service {
+impl FakeService {
     fn revision(&self) -> u64 {
-        match self.left.get() {
-            Some(_) => LEFT_REVISION,
-            None => FIRST_REVISION,
+        match self.removed_replica.get() {
+            Some(_) => REMOVAL_REVISION,
+            None => INITIAL_REVISION,
         }
     }
 
-    async fn answer(&self) -> Result<(), KeyValueError> {
-        match self.silent.get() {
+    async fn wait_for_connection(&self) -> Result<(), KeyValueError> {
+        match self.disconnected.get() {
             true => std::future::pending().await,
             false => Ok(()),
         }
@@ -79,16 +63,16 @@
 }
 
 #[derive(Clone)]
-struct Link(Rc<Service>);
+struct Link(Rc<FakeService>);
 
 impl KeyValueService for Link {
     async fn get(&self, key: &str) -> Result<Option<Item>, KeyValueError> {
-        self.0.answer().await?;
+        self.0.wait_for_connection().await?;
         Ok((key == "routes").then(|| item("routes", "")))
     }
 
     async fn range(&self, _: &str, _: Option<&str>) -> Result<RangePage, KeyValueError> {
-        self.0.answer().await?;
+        self.0.wait_for_connection().await?;
         let mut items = vec![item("routes", "")];
         for (number, address) in self.0.replicas.iter().enumerate() {
             items.push(item(&key_of(number), &address.to_string()));
@@ -96,21 +80,21 @@
         Ok(RangePage {
             items,
             more: false,
-            revision: FIRST_REVISION,
+            revision: INITIAL_REVISION,
         })
     }
 
     async fn watch(&self, _: &str, after: u64, _: Duration) -> Result<WatchOutcome, KeyValueError> {
-        self.0.answer().await?;
+        self.0.wait_for_connection().await?;
         let mut changes = Vec::new();
-        if let Some(number) = self.0.left.get()
-            && after < LEFT_REVISION
+        if let Some(number) = self.0.removed_replica.get()
+            && after < REMOVAL_REVISION
         {
             changes.push(Change::Removed {
                 key: key_of(number),
-                revision: LEFT_REVISION,
+                revision: REMOVAL_REVISION,
             });
-            self.0.told_at.set(Some(Instant::now()));
+            self.0.reported_at.set(Some(Instant::now()));
         }
         let revision = self.0.revision();
         Ok(WatchOutcome::Changes { changes, revision })
@@ -129,43 +113,46 @@
     Item {
         key: key.to_owned(),
         value: Bytes::from(value.to_owned()),
-        revision: FIRST_REVISION,
+        revision: INITIAL_REVISION,
     }
 }
 
-/// A replica that answers everything, and remembers when it was asked.
+/// Replica that answers every request and records when each arrived.
 struct Replica {
     address: SocketAddr,
-    asked_at: Rc<RefCell<Vec<Instant>>>,
+    request_times: Rc<RefCell<Vec<Instant>>>,
 }
 
 impl Replica {
     async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
-        let asked_at: Rc<RefCell<Vec<Instant>>> = Rc::default();
-        let asked = asked_at.clone();
+        let request_times: Rc<RefCell<Vec<Instant>>> = Rc::default();
+        let recorded = request_times.clone();
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::task::spawn_local(answer_all(stream, asked.clone()));
+                tokio::task::spawn_local(serve_responses(stream, recorded.clone()));
             }
         });
-        Self { address, asked_at }
+        Self {
+            address,
+            request_times,
+        }
     }
 
-    fn was_asked(&self) -> bool {
-        !self.asked_at.borrow().is_empty()
+    fn received_requests(&self) -> bool {
+        !self.request_times.borrow().is_empty()
     }
 
-    fn asked_after(&self, moment: Instant) -> usize {
-        let asked_at = self.asked_at.borrow();
-        asked_at.iter().filter(|at| **at > moment).count()
+    fn count_requests_after(&self, moment: Instant) -> usize {
+        let request_times = self.request_times.borrow();
+        request_times.iter().filter(|at| **at > moment).count()
     }
 }
 
-async fn answer_all(mut stream: TcpStream, asked_at: Rc<RefCell<Vec<Instant>>>) {
+async fn serve_responses(mut stream: TcpStream, request_times: Rc<RefCell<Vec<Instant>>>) {
     while let Some(head) = read_head(&mut stream).await {
-        asked_at.borrow_mut().push(Instant::now());
+        request_times.borrow_mut().push(Instant::now());
         let identifier = head.lines().find_map(|line| line.strip_prefix("id: "));
         let identifier = identifier.unwrap_or_default();
         let answer = format!(
@@ -189,26 +176,27 @@
     String::from_utf8(bytes).ok()
 }
 
-/// A front before three replicas.
-struct Running {
-    service: Rc<Service>,
+/// Front with three replicas and a fake key-value service.
+struct Harness {
+    service: Rc<FakeService>,
     replicas: Vec<Replica>,
     front: SocketAddr,
     next_request: Cell<u32>,
 }
 
-impl Running {
+impl Harness {
     async fn start() -> Self {
         let replicas = vec![
             Replica::start().await,
             Replica::start().await,
             Replica::start().await,
         ];
-        let service = Rc::new(Service {
+        let service = Rc::new(FakeService {
             replicas: replicas.iter().map(|replica| replica.address).collect(),
-            ..Service::default()
+            ..FakeService::default()
         });
-        let mirror = Mirror::new(Link(service.clone()), Words).with_change_bound(CHANGE_BOUND);
+        let mirror =
+            Mirror::new(Link(service.clone()), TestInterpreter).with_change_bound(CHANGE_BOUND);
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let listeners = FrontListeners::open(any, any).await.expect("listeners");
         let front = listeners.callers.local_addr().expect("address");
@@ -224,13 +212,13 @@
             admission_control: false,
             heterogeneous_engines: false,
         };
-        let never = std::future::pending();
+        let stop = std::future::pending();
         tokio::task::spawn_local(stageyoke_front::run(
             settings,
             listeners,
             names(),
             mirror,
-            never,
+            stop,
         ));
         Self {
             service,
@@ -240,7 +228,7 @@
         }
     }
 
-    /// One request on a connection of its own; true if it was served.
+    /// Sends a request on a new connection; returns whether the answer was 200.
     async fn request(&self) -> bool {
         let number = self.next_request.get();
         self.next_request.set(number + 1);
@@ -255,14 +243,17 @@
             stream.read_to_string(&mut answer).await.ok()?;
             Some(answer.starts_with("HTTP/1.1 200"))
         };
-        let outcome = tokio::time::timeout(PATIENCE, exchange).await;
+        let outcome = tokio::time::timeout(TEST_TIMEOUT, exchange).await;
         outcome.expect("an answer").unwrap_or(false)
     }
 
-    async fn request_until(&self, done: impl Fn() -> bool) {
-        let began = Instant::now();
-        while !done() {
-            assert!(began.elapsed() < PATIENCE, "it never came");
+    async fn request_until(&self, is_done: impl Fn() -> bool) {
+        let started_at = Instant::now();
+        while !is_done() {
+            assert!(
+                started_at.elapsed() < TEST_TIMEOUT,
+                "the awaited condition was not reached"
+            );
             self.request().await;
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -273,55 +264,63 @@
         self.request_until(|| Instant::now() >= until).await;
     }
 
-    fn any_asked(&self) -> bool {
-        self.replicas.iter().any(Replica::was_asked)
+    fn any_replica_received_requests(&self) -> bool {
+        self.replicas.iter().any(Replica::received_requests)
     }
 
-    /// The replica that the front prefers leaves.
-    fn leave(&self) {
-        let preferred = self.replicas.iter().position(Replica::was_asked);
-        self.service.left.set(preferred);
+    /// Removes the replica that received the front's requests so far.
+    fn remove_used_replica(&self) {
+        let preferred = self.replicas.iter().position(Replica::received_requests);
+        self.service.removed_replica.set(preferred);
     }
 
-    /// Requests that reach the replica that left after the front was told.
-    async fn asked_after_told(&self) -> usize {
-        self.request_until(|| self.service.told_at.get().is_some())
+    /// Counts the requests that reach the removed replica after the front received the change.
+    async fn count_requests_after_report(&self) -> usize {
+        self.request_until(|| self.service.reported_at.get().is_some())
             .await;
-        let told_at = self.service.told_at.get().expect("told");
+        let reported_at = self.service.reported_at.get().expect("the change was sent");
         self.request_for(CHANGE_BOUND).await;
-        let left = self.service.left.get().expect("one left");
-        self.replicas[left].asked_after(told_at + ON_THEIR_WAY)
+        let removed = self
+            .service
+            .removed_replica
+            .get()
+            .expect("a replica was removed");
+        self.replicas[removed].count_requests_after(reported_at + DELIVERY_TIME)
     }
 }
 
-async fn local(test: impl Future<Output = ()>) {
+async fn run_local(test: impl Future<Output = ()>) {
     LocalSet::new().run_until(test).await;
 }
 
-/// The front's own silence is no outage of the service.
+/// A disconnection of the front must not be taken for a service outage.
 #[tokio::test]
-async fn a_front_that_was_cut_off_takes_the_list_as_told() {
-    local(async {
-        let running = Running::start().await;
-        running.request_until(|| running.any_asked()).await;
-        running.service.silent.set(true);
-        running.request_for(CUT_OFF_FOR / 2).await;
-        running.leave();
-        running.request_for(CUT_OFF_FOR / 2).await;
-        running.service.silent.set(false);
-        assert_eq!(running.asked_after_told().await, 0);
+async fn a_reconnected_front_drops_a_removed_replica() {
+    run_local(async {
+        let harness = Harness::start().await;
+        harness
+            .request_until(|| harness.any_replica_received_requests())
+            .await;
+        harness.service.disconnected.set(true);
+        harness.request_for(DISCONNECTION / 2).await;
+        harness.remove_used_replica();
+        harness.request_for(DISCONNECTION / 2).await;
+        harness.service.disconnected.set(false);
+        assert_eq!(harness.count_requests_after_report().await, 0);
     })
     .await;
 }
 
-/// An entry that goes while the service answers has not run out for want of it.
+/// An entry removed while the service answers must not be treated as lapsed.
 #[tokio::test]
-async fn a_replica_that_leaves_while_the_service_answers_gets_nothing_more() {
-    local(async {
-        let running = Running::start().await;
-        running.request_until(|| running.any_asked()).await;
-        running.leave();
-        assert_eq!(running.asked_after_told().await, 0);
+async fn a_replica_removed_while_the_service_answers_receives_no_requests() {
+    run_local(async {
+        let harness = Harness::start().await;
+        harness
+            .request_until(|| harness.any_replica_received_requests())
+            .await;
+        harness.remove_used_replica();
+        assert_eq!(harness.count_requests_after_report().await, 0);
     })
     .await;
 }
--- a/crates/stageyoke-front/tests/slow_replicas_test.rs
+++ b/crates/stageyoke-front/tests/slow_replicas_test.rs
@@ -1,6 +1,6 @@
-//! Replay of a load: a part of a service's replicas takes several times as long for
-//! some seconds. Many fronts, each of which sees a replica seldom, choose with and
-//! without what they tell one another. Virtual time.
+//! Simulates, in virtual time, a service some of whose replicas slow down for a few
+//! seconds, with many fronts that each call a replica rarely. Compares placement with and
+//! without the reports that fronts exchange about slow replicas.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -20,28 +20,28 @@
 const REPLICAS: usize = 27;
 const SLOW_REPLICAS: usize = 13;
 const SLOTS: usize = 6;
-/// How many times as long the slow ones take.
-const SLOWED: f64 = 5.6;
+/// Factor by which calls take longer at slow replicas.
+const SLOWDOWN_FACTOR: f64 = 5.6;
 const CALLS_PER_SECOND: f64 = 900.0;
-/// Exchanges with stores that carry reports, for one front.
-const EXCHANGE_MILLISECONDS: u64 = 160;
-const LENGTH: u64 = 9_000;
-const SLOW_FROM: u64 = 3_000;
-const SLOW_UNTIL: u64 = 8_000;
-/// A call of this length is late: it costs its program the aim.
-const LATE: u64 = 500;
+/// Interval at which a front exchanges reports with a store.
+const EXCHANGE_INTERVAL_MILLISECONDS: u64 = 160;
+const DURATION_MILLISECONDS: u64 = 9_000;
+const SLOWDOWN_START_MILLISECONDS: u64 = 3_000;
+const SLOWDOWN_END_MILLISECONDS: u64 = 8_000;
+/// Latency in milliseconds from which a call counts as late.
+const LATE_MILLISECONDS: u64 = 500;
 const GROUPS: [GroupNumber; 2] = [GroupNumber(0), GroupNumber(1)];
 
 struct Job {
     front: usize,
     route: usize,
-    began: u64,
-    work: f64,
+    started_at: u64,
+    duration_milliseconds: f64,
 }
 
 struct Running {
     job: Job,
-    ends: u64,
+    ends_at: u64,
 }
 
 #[derive(Default)]
@@ -51,41 +51,43 @@
 }
 
 #[derive(Debug, Default)]
-struct Seen {
+struct CallCounts {
     calls: usize,
     to_slow: usize,
     late: usize,
-    summed: u64,
+    latency_sum_milliseconds: u64,
 }
 
-fn slow(replica: usize, time: u64) -> bool {
-    replica < SLOW_REPLICAS && (SLOW_FROM..SLOW_UNTIL).contains(&time)
+fn is_slow(replica: usize, time: u64) -> bool {
+    replica < SLOW_REPLICAS
+        && (SLOWDOWN_START_MILLISECONDS..SLOWDOWN_END_MILLISECONDS).contains(&time)
 }
 
-/// Plays the load; fronts tell one another of slow replicas or don't.
-async fn play(told: bool, seed: u64) -> Seen {
+/// Runs the load, with or without reports of slow replicas between fronts.
+async fn simulate(with_reports: bool, seed: u64) -> CallCounts {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut replicas: Vec<Replica> = (0..REPLICAS).map(|_| Replica::default()).collect();
-    let boards: Vec<LoadTracker> = (0..FRONTS)
+    let trackers: Vec<LoadTracker> = (0..FRONTS)
         .map(|front| LoadTracker::new(front as u32))
         .collect();
-    let usual: Vec<BaselineLatencies> = (0..FRONTS).map(|_| BaselineLatencies::default()).collect();
+    let baselines: Vec<BaselineLatencies> =
+        (0..FRONTS).map(|_| BaselineLatencies::default()).collect();
     let stores: Vec<LoadReports> = GROUPS.iter().map(|_| LoadReports::default()).collect();
     let routes = [("reads", 26.0), ("pulls", 104.0), ("tiles", 69.4)];
     let names = routes.map(|(name, _)| Text::from(name));
-    let mut seen = Seen::default();
-    let began = Instant::now();
-    for time in 0..LENGTH {
-        tokio::time::sleep_until(began + Duration::from_millis(time)).await;
-        for (front, board) in boards.iter().enumerate() {
-            if (time + front as u64 * 13).is_multiple_of(EXCHANGE_MILLISECONDS) {
+    let mut counts = CallCounts::default();
+    let started_at = Instant::now();
+    for time in 0..DURATION_MILLISECONDS {
+        tokio::time::sleep_until(started_at + Duration::from_millis(time)).await;
+        for (front, tracker) in trackers.iter().enumerate() {
+            if (time + front as u64 * 13).is_multiple_of(EXCHANGE_INTERVAL_MILLISECONDS) {
                 let group = random.random_range(0..GROUPS.len());
-                stores[group].update(board.report(GROUPS[group]));
-                let mut others = stores[group].report_excluding(front as u32);
-                if !told {
-                    others.slow_replicas = Default::default();
+                stores[group].update(tracker.report(GROUPS[group]));
+                let mut peer_report = stores[group].report_excluding(front as u32);
+                if !with_reports {
+                    peer_report.slow_replicas = Default::default();
                 }
-                board.apply_report(GROUPS[group], others);
+                tracker.apply_report(GROUPS[group], peer_report);
             }
         }
         if random.random_bool(CALLS_PER_SECOND / 1_000.0) {
@@ -94,9 +96,9 @@
                 .map(|replica| Candidate {
                     hash: replica as u64,
                     same_zone: replica % 4 == front % 4,
-                    in_flight: boards[front].in_flight(replica as u32),
+                    in_flight: trackers[front].in_flight(replica as u32),
                     slots: SLOTS as u32,
-                    slowdown: boards[front].slowdown(replica as u32),
+                    slowdown: trackers[front].slowdown(replica as u32),
                     failure_probability: 0.0,
                     cached_tokens: 0,
                     in_cell: false,
@@ -110,63 +112,75 @@
             } else {
                 random.random_range(1..3)
             };
-            let work = -routes[route].1 * (1.0 - random.random::<f64>()).ln();
-            boards[front].start_request(chosen as u32);
-            if (SLOW_FROM..SLOW_UNTIL).contains(&time) {
-                seen.calls += 1;
-                seen.to_slow += usize::from(slow(chosen, time));
+            let duration_milliseconds = -routes[route].1 * (1.0 - random.random::<f64>()).ln();
+            trackers[front].start_request(chosen as u32);
+            if (SLOWDOWN_START_MILLISECONDS..SLOWDOWN_END_MILLISECONDS).contains(&time) {
+                counts.calls += 1;
+                counts.to_slow += usize::from(is_slow(chosen, time));
             }
             replicas[chosen].waiting.push_back(Job {
                 front,
                 route,
-                began: time,
-                work: work.clamp(2.0, routes[route].1 * 4.0),
+                started_at: time,
+                duration_milliseconds: duration_milliseconds.clamp(2.0, routes[route].1 * 4.0),
             });
         }
         for (number, replica) in replicas.iter_mut().enumerate() {
             for index in (0..replica.running.len()).rev() {
-                if replica.running[index].ends > time {
+                if replica.running[index].ends_at > time {
                     continue;
                 }
                 let Running { job, .. } = replica.running.swap_remove(index);
-                let took = time - job.began;
-                boards[job.front].end_request(number as u32);
-                let took_for = Duration::from_millis(took);
-                let ratio = usual[job.front].record_slowdown(&names[job.route], took_for);
-                boards[job.front].record_latency_ratio(number as u32, ratio);
-                if (SLOW_FROM..SLOW_UNTIL).contains(&job.began) {
-                    seen.late += usize::from(took >= LATE);
-                    seen.summed += took;
+                let latency_milliseconds = time - job.started_at;
+                trackers[job.front].end_request(number as u32);
+                let latency = Duration::from_millis(latency_milliseconds);
+                let ratio = baselines[job.front].record_slowdown(&names[job.route], latency);
+                trackers[job.front].record_latency_ratio(number as u32, ratio);
+                if (SLOWDOWN_START_MILLISECONDS..SLOWDOWN_END_MILLISECONDS)
+                    .contains(&job.started_at)
+                {
+                    counts.late += usize::from(latency_milliseconds >= LATE_MILLISECONDS);
+                    counts.latency_sum_milliseconds += latency_milliseconds;
                 }
             }
             while replica.running.len() < SLOTS
                 && let Some(job) = replica.waiting.pop_front()
             {
-                let times = if slow(number, time) { SLOWED } else { 1.0 };
-                let ends = time + (job.work * times) as u64;
-                replica.running.push(Running { job, ends });
+                let factor = if is_slow(number, time) {
+                    SLOWDOWN_FACTOR
+                } else {
+                    1.0
+                };
+                let ends_at = time + (job.duration_milliseconds * factor) as u64;
+                replica.running.push(Running { job, ends_at });
             }
         }
     }
-    seen
+    counts
 }
 
-/// Told of, slow replicas get few calls from half a second on; without it, each front
-/// knows only how many calls wait there.
+/// Reports must more than halve both the calls that slow replicas receive and the late
+/// calls, compared with fronts that know only their own calls.
 #[tokio::test(start_paused = true)]
-async fn slow_replicas_that_are_told_of_get_few_calls() {
-    let mut before = Seen::default();
-    let mut after = Seen::default();
+async fn reported_slow_replicas_receive_few_calls() {
+    let mut uninformed = CallCounts::default();
+    let mut informed = CallCounts::default();
     for seed in 0..3 {
-        for (told, sum) in [(false, &mut before), (true, &mut after)] {
-            let seen = play(told, seed).await;
-            sum.calls += seen.calls;
-            sum.to_slow += seen.to_slow;
-            sum.late += seen.late;
-            sum.summed += seen.summed;
+        for (with_reports, sum) in [(false, &mut uninformed), (true, &mut informed)] {
+            let counts = simulate(with_reports, seed).await;
+            sum.calls += counts.calls;
+            sum.to_slow += counts.to_slow;
+            sum.late += counts.late;
+            sum.latency_sum_milliseconds += counts.latency_sum_milliseconds;
         }
     }
-    println!("counted alone {before:?}\ntold as well  {after:?}");
-    assert!(after.to_slow * 2 < before.to_slow, "{before:?} {after:?}");
-    assert!(after.late * 2 < before.late, "{before:?} {after:?}");
+    println!("without reports {uninformed:?}\nwith reports    {informed:?}");
+    assert!(
+        informed.to_slow * 2 < uninformed.to_slow,
+        "{uninformed:?} {informed:?}"
+    );
+    assert!(
+        informed.late * 2 < uninformed.late,
+        "{uninformed:?} {informed:?}"
+    );
 }
--- a/crates/stageyoke-front/tests/support/list.rs
+++ b/crates/stageyoke-front/tests/support/list.rs
@@ -1,5 +1,5 @@
-//! One service behind one route, and how its entries are read, for tests of the
-//! replica list.
+//! Route table with one service, and an interpreter of its directory items, for tests of
+//! the replica list.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
 /// Name of the service.
 pub const SERVICE: &str = "service";
 
-/// A ready replica of the service at this address.
-fn record(address: &str) -> ReplicaRecord {
+/// Returns the record of a ready replica at the address.
+fn replica_record(address: &str) -> ReplicaRecord {
     ReplicaRecord {
         service: Text::from(SERVICE),
         address: Text::from(address),
@@ -25,8 +25,8 @@
     }
 }
 
-/// Requests to `/safe/` go to the service, and may be repeated.
-fn table() -> RouteTable {
+/// Returns a route table with one repeatable route, `/safe/`, to the service.
+fn route_table() -> RouteTable {
     RouteTable {
         version: 1,
         routes: vec![Route {
@@ -63,18 +63,18 @@
     }
 }
 
-/// Reads `replica-N`, whose value is its address, and `routes`.
-pub struct Words;
+/// Interprets `routes`, and takes any other key as a replica whose value is its address.
+pub struct TestInterpreter;
 
-impl Interpreter for Words {
+impl Interpreter for TestInterpreter {
     fn interpret(&self, key: &str, value: Option<&Bytes>) -> Update {
         let text = value.and_then(|value| std::str::from_utf8(value).ok());
         match (key, text) {
-            ("routes", Some(_)) => Update::Routes(table()),
+            ("routes", Some(_)) => Update::Routes(route_table()),
             ("routes", None) => Update::Ignored,
             (id, address) => Update::Replica {
                 id: Text::from(id),
-                record: address.map(record),
+                record: address.map(replica_record),
             },
         }
     }
--- a/crates/stageyoke-front/tests/support/mod.rs
+++ b/crates/stageyoke-front/tests/support/mod.rs
@@ -1,9 +1,9 @@
-//! Names that the front's tests use.
+//! Protocol names for the front's tests.
 
 use hyper::header::HeaderName;
 use stageyoke_front::{ProtocolNames, UrgencyScale};
 
-/// Short header names and paths.
+/// Returns the header names and paths that the tests use.
 pub fn names() -> ProtocolNames {
     let name = HeaderName::from_static;
     ProtocolNames {
