--- a/crates/stageyoke-front/tests/list_end/service.rs
+++ b/crates/stageyoke-front/tests/list_end/service.rs
@@ -18,7 +18,7 @@
 /// Key-value service with its items and its change history since the last compaction.
 #[derive(Default)]
 pub struct Service {
-    away: Cell<bool>,
+    unavailable: Cell<bool>,
     revision: Cell<u64>,
     items: RefCell<BTreeMap<String, Item>>,
     history: RefCell<Vec<Change>>,
@@ -51,8 +51,8 @@
     }
 
     /// Sets whether the service is unavailable to all clients.
-    pub fn set_away(&self, away: bool) {
-        self.away.set(away);
+    pub fn set_away(&self, unavailable: bool) {
+        self.unavailable.set(unavailable);
     }
 
     fn changes_after(&self, revision: u64) -> Vec<Change> {
@@ -80,7 +80,7 @@
 
 impl Link {
     async fn pass_call(&self) {
-        let is_blocked = || self.cut.get() || self.service.away.get();
+        let is_blocked = || self.cut.get() || self.service.unavailable.get();
         let was_blocked = is_blocked();
         tokio::time::sleep(RESPONSE_DELAY).await;
         if was_blocked || is_blocked() {
--- a/crates/stageyoke-front/tests/replica_removal_simulation_test.rs
+++ b/crates/stageyoke-front/tests/replica_removal_simulation_test.rs
@@ -132,7 +132,7 @@
 
     /// Returns the longest time from the reconnection of a front, or the end of an outage,
     /// until replicas removed meanwhile are no longer usable.
-    fn removal_deadline(&self) -> Duration {
+    fn max_removal_delay(&self) -> Duration {
         let list_delay = self.times.change_bound.mul_f64(LIST_DELAY_FACTOR);
         list_delay.max(LAPSED_ENTRY_GRACE) + CHECK_INTERVAL * 2
     }
@@ -143,14 +143,14 @@
         let disturbed_at = self.disturbed_at[number].get();
         let past_reconnect_grace =
             disturbed_at.is_none_or(|at| now > at + self.times.reconnect_grace);
-        let past_removal_deadline =
-            disturbed_at.is_none_or(|at| now > at + self.removal_deadline());
+        let past_max_removal_delay =
+            disturbed_at.is_none_or(|at| now > at + self.max_removal_delay());
         for (replica, removed_at) in self.removed_at.borrow().iter().enumerate() {
             let Some(at) = removed_at else { continue };
             let past_change_bound = now > *at + self.times.change_bound;
             let is_usable = usable_replicas.contains(&key_of(replica));
             let is_breach =
-                is_usable && past_change_bound && (past_reconnect_grace || past_removal_deadline);
+                is_usable && past_change_bound && (past_reconnect_grace || past_max_removal_delay);
             if is_breach && self.breach.borrow().is_none() {
                 let breach = format!(
                     "front {number} uses replica {replica} {:?} after its removal; list age {:?}, \
--- a/crates/stageyoke-front/tests/replica_removal_test.rs
+++ b/crates/stageyoke-front/tests/replica_removal_test.rs
@@ -28,9 +28,9 @@
 /// Time within which a change of the replica list must take effect.
 const CHANGE_BOUND: Duration = Duration::from_secs(2);
 /// Longer than the call timeout, so that the front detects that it is disconnected.
-const DISCONNECTION: Duration = Duration::from_millis(2_500);
+const DISCONNECTION_DURATION: Duration = Duration::from_millis(2_500);
 /// Requests sent before the front received the change may arrive this much later.
-const DELIVERY_TIME: Duration = Duration::from_millis(100);
+const DELIVERY_DELAY: Duration = Duration::from_millis(100);
 /// Limits how long a failing test can hang.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
@@ -140,7 +140,7 @@
         }
     }
 
-    fn received_requests(&self) -> bool {
+    fn has_received_requests(&self) -> bool {
         !self.request_times.borrow().is_empty()
     }
 
@@ -264,13 +264,16 @@
         self.request_until(|| Instant::now() >= until).await;
     }
 
-    fn any_replica_received_requests(&self) -> bool {
-        self.replicas.iter().any(Replica::received_requests)
+    fn has_any_replica_received_requests(&self) -> bool {
+        self.replicas.iter().any(Replica::has_received_requests)
     }
 
     /// Removes the replica that received the front's requests so far.
     fn remove_used_replica(&self) {
-        let preferred = self.replicas.iter().position(Replica::received_requests);
+        let preferred = self
+            .replicas
+            .iter()
+            .position(Replica::has_received_requests);
         self.service.removed_replica.set(preferred);
     }
 
@@ -285,7 +288,7 @@
             .removed_replica
             .get()
             .expect("a replica was removed");
-        self.replicas[removed].count_requests_after(reported_at + DELIVERY_TIME)
+        self.replicas[removed].count_requests_after(reported_at + DELIVERY_DELAY)
     }
 }
 
@@ -299,12 +302,12 @@
     run_local(async {
         let harness = Harness::start().await;
         harness
-            .request_until(|| harness.any_replica_received_requests())
+            .request_until(|| harness.has_any_replica_received_requests())
             .await;
         harness.service.disconnected.set(true);
-        harness.request_for(DISCONNECTION / 2).await;
+        harness.request_for(DISCONNECTION_DURATION / 2).await;
         harness.remove_used_replica();
-        harness.request_for(DISCONNECTION / 2).await;
+        harness.request_for(DISCONNECTION_DURATION / 2).await;
         harness.service.disconnected.set(false);
         assert_eq!(harness.count_requests_after_report().await, 0);
     })
@@ -317,7 +320,7 @@
     run_local(async {
         let harness = Harness::start().await;
         harness
-            .request_until(|| harness.any_replica_received_requests())
+            .request_until(|| harness.has_any_replica_received_requests())
             .await;
         harness.remove_used_replica();
         assert_eq!(harness.count_requests_after_report().await, 0);
