--- a/crates/stageyoke-directory/src/freshness.rs
+++ b/crates/stageyoke-directory/src/freshness.rs
@@ -14,9 +14,8 @@
 
 /// Fraction of the change bound after which the directory is refreshed.
 const REFRESH_FRACTION: f64 = 0.6;
-/// Fraction of the change bound after which processes that refresh early do so, which
-/// lets peers learn the result from them in time: an answer that brings a change
-/// reaches all peers at the same moment.
+/// Fraction of the change bound after which a process refreshes if it does so early on
+/// behalf of its peers. They can receive the result before their own refresh is due.
 const EARLY_REFRESH_FRACTION: f64 = 0.4;
 /// Fraction of the change bound that one answer may take. With `REFRESH_FRACTION` it
 /// leaves a tenth of the bound for a request's transfer to its replica.
--- a/crates/stageyoke-directory/src/outage.rs
+++ b/crates/stageyoke-directory/src/outage.rs
@@ -32,8 +32,8 @@
     /// Start of the last request that failed during the outage; the service returned
     /// after it.
     pub last_failed_at: Option<Instant>,
-    /// Whether contact with a peer during the outage showed that it had no answer
-    /// either.
+    /// Whether a peer that was contacted during the outage had no recent answer from the
+    /// service either.
     pub corroborated: bool,
 }
 
--- a/crates/stageyoke-front/src/admission.rs
+++ b/crates/stageyoke-front/src/admission.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use stageyoke_directory::{Interpreter, KeyValueService, RouteKind};
-use stageyoke_observe::{RequestSummary as Summary, metrics};
+use stageyoke_observe::{RequestSummary, metrics};
 use stageyoke_policy::admission::{AdmissionDecision, EngineLoad};
 use stageyoke_types::hash::{mix, to_unit_interval};
 use stageyoke_types::{ErrorKind, Text};
@@ -69,7 +69,7 @@
     pub(crate) async fn admit_program(
         &self,
         context: &RequestContext,
-        summary: &mut Summary,
+        summary: &mut RequestSummary,
     ) -> Result<(), Failure> {
         let program = &context.identifiers.program;
         if !self.may_reject(context) || self.started_programs.has_started(program) {
--- a/crates/stageyoke-front/src/dispatch.rs
+++ b/crates/stageyoke-front/src/dispatch.rs
@@ -6,7 +6,7 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::StatusCode;
 use stageyoke_directory::{Interpreter, KeyValueService, RouteKind};
-use stageyoke_observe::RequestSummary as Summary;
+use stageyoke_observe::RequestSummary;
 use stageyoke_store::message::Placement;
 use stageyoke_types::{ErrorKind, Text};
 use tokio::time::Instant;
@@ -39,7 +39,7 @@
     pub(crate) async fn dispatch(
         &self,
         context: &mut RequestContext,
-        summary: &mut Summary,
+        summary: &mut RequestSummary,
         reservation: &mut Option<Reservation>,
         mut reported: Option<Placement>,
     ) -> Result<DispatchedResponse, Failure> {
@@ -381,7 +381,7 @@
     }
 }
 
-fn record_attempt(summary: &mut Summary, replica: &str, outcome: &str) {
+fn record_attempt(summary: &mut RequestSummary, replica: &str, outcome: &str) {
     if !summary.attempts.is_empty() {
         summary.attempts.push(' ');
     }
--- a/crates/stageyoke-front/src/handler.rs
+++ b/crates/stageyoke-front/src/handler.rs
@@ -32,7 +32,7 @@
 use crate::response_body::ResponseBody;
 use crate::routing::MatchedRoute;
 use crate::stream_relay::{CHUNK_BUFFER, StreamRelay, TurnStorage, UpstreamStream};
-use stageyoke_observe::{self as observe, RequestSummary as Summary};
+use stageyoke_observe::{self as observe, RequestSummary};
 
 /// Timeout for confirming an unknown route or reading a transcript.
 pub(crate) const LOOKUP_TIMEOUT: Duration = Duration::from_millis(800);
@@ -92,7 +92,7 @@
     fn echo_request_id(
         &self,
         mut response: Response<ResponseBody>,
-        summary: &Summary,
+        summary: &RequestSummary,
     ) -> Response<ResponseBody> {
         if let Ok(value) = HeaderValue::from_str(&summary.request)
             && !summary.request.is_empty()
@@ -107,7 +107,7 @@
         self: &Rc<Self>,
         request: Request<Incoming>,
         arrived: Instant,
-        summary: &mut Summary,
+        summary: &mut RequestSummary,
     ) -> Result<Response<ResponseBody>, Failure> {
         let (head, body) = request.into_parts();
         let parameters = RequestParameters::read(&head.headers, &self.names, arrived).ok_or(
@@ -217,7 +217,7 @@
     async fn run(
         self: &Rc<Self>,
         mut context: RequestContext,
-        summary: &mut Summary,
+        summary: &mut RequestSummary,
         granted: &RefCell<Option<QuotaGrant>>,
     ) -> Result<Response<ResponseBody>, Failure> {
         summary.priority = context.caller.priority(&context.route);
@@ -300,7 +300,7 @@
         self: &Rc<Self>,
         context: RequestContext,
         dispatched: DispatchedResponse,
-        summary: &mut Summary,
+        summary: &mut RequestSummary,
         reservation: Option<Reservation>,
     ) -> Response<ResponseBody> {
         let (reply, uncached_tokens) = match dispatched {
--- a/crates/stageyoke-front/src/replica_log.rs
+++ b/crates/stageyoke-front/src/replica_log.rs
@@ -12,8 +12,8 @@
 /// Maximum number of replicas named in one line; the rest are counted.
 const MAX_NAMED_REPLICAS: usize = 4;
 
-/// Logs placements by a replica list that is too old to include all changes that must be in
-/// force.
+/// Counts and logs requests that are placed by a replica list older than the change bound;
+/// such a list may lack changes that must already be in force.
 #[derive(Debug)]
 pub(crate) struct StaleListMonitor {
     bound: Duration,
--- a/crates/stageyoke-front/src/stream_relay.rs
+++ b/crates/stageyoke-front/src/stream_relay.rs
@@ -18,7 +18,7 @@
 use crate::replica::{InFlightGuard, Replica};
 use crate::request::ScopedIdentifiers;
 use crate::response_body::{Chunk, TruncatedResponse};
-use stageyoke_observe::{self as observe, RequestSummary as Summary};
+use stageyoke_observe::{self as observe, RequestSummary};
 
 /// Chunks buffered for a slow caller.
 pub const CHUNK_BUFFER: usize = 16;
@@ -92,7 +92,7 @@
     /// Time at which the stream is aborted.
     pub deadline: Instant,
     /// Summary for the request's log line.
-    pub summary: Summary,
+    pub summary: RequestSummary,
     /// Time at which the request arrived.
     pub arrived: Instant,
     /// Memory used by the request until the stream ends.
--- a/crates/stageyoke-front/tests/engine_rates_test.rs
+++ b/crates/stageyoke-front/tests/engine_rates_test.rs
@@ -202,7 +202,7 @@
     engines[0].failure_probability = 0.5;
     let chosen = choose_engine(&engines, 0, 0, &rates).expect("engine");
     assert_ne!(chosen, 0);
-    // It is used nevertheless when the other engines are full.
+    // The failing engine still receives turns when the other engines are full.
     engines[1].in_flight = 90;
     engines[2].in_flight = 90;
     assert_eq!(choose_engine(&engines, 0, 0, &rates), Some(0));
--- a/crates/stageyoke-front/tests/list_end/service.rs
+++ b/crates/stageyoke-front/tests/replica_removal_simulation/service.rs
@@ -51,7 +51,7 @@
     }
 
     /// Sets whether the service is unavailable to all clients.
-    pub fn set_away(&self, unavailable: bool) {
+    pub fn set_unavailable(&self, unavailable: bool) {
         self.unavailable.set(unavailable);
     }
 
--- a/crates/stageyoke-front/tests/replica_removal_simulation_test.rs
+++ b/crates/stageyoke-front/tests/replica_removal_simulation_test.rs
@@ -5,11 +5,11 @@
 //! within 1.15 times the bound. Entries that lapsed in a service outage may be used until
 //! 2.7 s after the outage. Both must end within the reconnect grace.
 
-#[path = "list_end/cluster.rs"]
+#[path = "replica_removal_simulation/cluster.rs"]
 mod cluster;
 #[path = "support/list.rs"]
 mod list;
-#[path = "list_end/service.rs"]
+#[path = "replica_removal_simulation/service.rs"]
 mod service;
 #[path = "support/virtual_time.rs"]
 mod virtual_time;
@@ -205,7 +205,7 @@
     async fn run_outage(&self, milliseconds: u64) {
         let span = Duration::from_millis(milliseconds);
         self.is_unavailable.set(true);
-        self.cluster.service.set_away(true);
+        self.cluster.service.set_unavailable(true);
         tokio::time::sleep(span).await;
         let entries_lapse = span >= self.times.heartbeat_interval * 3;
         let is_live = |replica: &usize| self.removed_at.borrow()[*replica].is_none();
@@ -216,7 +216,7 @@
         for replica in &lapsed {
             self.cluster.service.write(&key_of(*replica), None);
         }
-        self.cluster.service.set_away(false);
+        self.cluster.service.set_unavailable(false);
         self.is_unavailable.set(false);
         let cuts = self.cluster.store_cuts.iter().filter(|cut| cut.get());
         self.remaining_store_cuts.borrow_mut().extend(cuts.cloned());
--- a/crates/stageyoke-store/src/message.rs
+++ b/crates/stageyoke-store/src/message.rs
@@ -450,7 +450,8 @@
         next: JournalPosition,
         /// Whether the journal continues after the page.
         more: bool,
-        /// Whether digests that are not listed are known not to be held, as for `Chain`.
+        /// Whether a record that is not listed is known not to be held here: the store is a
+        /// complete member of the group, and the requester's member list is recent enough.
         complete: bool,
         /// Version of the group's member list that the store uses.
         members_version: u64,
--- a/crates/stageyoke-store/tests/plans/availability.rs
+++ b/crates/stageyoke-store/tests/plans/availability.rs
@@ -63,7 +63,8 @@
         }
     }
 
-    /// Whether a group served none of the probes of a kind sent in a window.
+    /// Returns whether at least `MIN_PROBES` probes of this kind were sent to the group from
+    /// `start` to `end`, and none of them was served.
     pub fn is_unavailable(
         &self,
         group: GroupNumber,
--- a/crates/stageyoke-store/tests/plans/loss_tracker.rs
+++ b/crates/stageyoke-store/tests/plans/loss_tracker.rs
@@ -6,11 +6,11 @@
 /// A machine's status at one moment.
 #[derive(Clone, Copy, Debug)]
 pub struct MachineStatus {
-    /// It runs, is reachable and its disk accepts writes.
+    /// The machine runs, is reachable and its disk accepts writes.
     pub available: bool,
-    /// The operator is retiring it.
+    /// The operator is retiring the machine.
     pub retiring: bool,
-    /// It will never come back.
+    /// The machine is gone for good, lost or retired.
     pub gone: bool,
 }
 
--- a/crates/stageyoke-store/tests/quota_accuracy_test.rs
+++ b/crates/stageyoke-store/tests/quota_accuracy_test.rs
@@ -158,7 +158,8 @@
     OwnersRestart,
     /// A front sends a quota request to the first or the next owner.
     SendRequest(QuotaLookup),
-    /// A request reaches an owner, with whether it is forced.
+    /// A request reaches the owner with this index. If the flag is set, the owner must
+    /// decide even if it does not know the whole window.
     RequestArrives(QuotaLookup, usize, bool),
     /// Another owner's grant reaches this owner.
     GrantReported(usize),
