--- a/crates/stageyoke-directory/src/model.rs
+++ b/crates/stageyoke-directory/src/model.rs
@@ -55,7 +55,7 @@
     pub resumable: bool,
     /// Whether requests need no key even if the configuration has tenants.
     pub allows_anonymous: bool,
-    /// Whether a replica serves an object faster if it has served it recently.
+    /// Whether a replica serves an object faster after it has recently served that object.
     pub affinity: bool,
 }
 
