--- a/crates/stageyoke-cli/src/commands.rs
+++ b/crates/stageyoke-cli/src/commands.rs
@@ -9,7 +9,7 @@
 use http_body_util::BodyExt;
 use hyper::{Request, StatusCode};
 use serde_json::{Value, json};
-use stageyoke_config::difference::{Difference, difference};
+use stageyoke_config::difference::{Difference, compare_configurations};
 use stageyoke_config::model::hash_key;
 use stageyoke_config::schema::CONFIGURATION;
 use stageyoke_config::{CheckedConfig, Configuration, Problems};
@@ -47,7 +47,7 @@
     let list = problems.list().iter().map(|problem| {
         json!({
             "severity": format!("{:?}", problem.severity).to_lowercase(),
-            "line": problems.line_of(problem),
+            "line": problems.line_number(problem),
             "what": problem.what,
             "remedy": problem.remedy,
         })
@@ -101,7 +101,7 @@
         let checked = stageyoke_config::check("in force", &record.text).ok()?;
         Some(checked.config)
     });
-    difference(before.as_ref(), after)
+    compare_configurations(before.as_ref(), after)
 }
 
 fn print_plan(version: u64, changes: &[Difference], as_json: bool) {
--- a/crates/stageyoke-config/src/check.rs
+++ b/crates/stageyoke-config/src/check.rs
@@ -92,7 +92,7 @@
 }
 
 fn read(document: &mut Document<'_>) -> Raw {
-    let name = document.top(|reader| {
+    let name = document.read_root(|reader| {
         reader.number("schema");
         reader.text("name").value
     });
@@ -100,17 +100,17 @@
         name,
         limits: read_limits(document),
         policy: read_policy(document),
-        classes: document.each("class", |reader| Named {
+        classes: document.read_each("class", |reader| Named {
             name: reader.text("name"),
             body: reader.number("priority").value as u8,
         }),
-        tenants: document.each("tenant", read_tenant),
-        models: document.each("model", read_model),
-        engines: document.each("engine", read_engine),
-        programs: document.each("program", read_program),
-        tools: document.each("tool", read_tool),
-        pools: document.each("pool", read_pool),
-        routes: document.each("route", read_route),
+        tenants: document.read_each("tenant", read_tenant),
+        models: document.read_each("model", read_model),
+        engines: document.read_each("engine", read_engine),
+        programs: document.read_each("program", read_program),
+        tools: document.read_each("tool", read_tool),
+        pools: document.read_each("pool", read_pool),
+        routes: document.read_each("route", read_route),
     }
 }
 
@@ -131,7 +131,7 @@
     section: &'static str,
     read: impl Fn(&mut Reader<'_>) -> T,
 ) -> T {
-    if let Some(value) = document.each(section, &read).pop() {
+    if let Some(value) = document.read_each(section, &read).pop() {
         return value;
     }
     let empty = format!("[{section}]");
@@ -139,7 +139,7 @@
         Ok(defaults) => defaults,
         Err(_) => unreachable!("an empty section is valid"),
     };
-    match defaults.each(section, &read).pop() {
+    match defaults.read_each(section, &read).pop() {
         Some(value) => value,
         None => unreachable!("the section was just written"),
     }
@@ -165,11 +165,11 @@
 
 fn read_tenant(reader: &mut Reader<'_>) -> Named<RawTenant> {
     let name = reader.text("name");
-    let hashes = reader.texts("key_hashes");
+    let hashes = reader.text_list("key_hashes");
     for hash in &hashes {
         check_key_hash(reader, hash);
     }
-    let programs = reader.texts("programs");
+    let programs = reader.text_list("programs");
     let tenant = Tenant {
         name: name.value.clone(),
         key_hashes: values(&hashes),
@@ -233,7 +233,7 @@
     let name = reader.text("name");
     let class = reader.text("class");
     let model = reader.text("model");
-    let tools = reader.texts("tools");
+    let tools = reader.text_list("tools");
     let limits = Limits {
         calls: reader.number("calls").value.min(u64::from(u32::MAX)) as u32,
         tokens_in: reader.number("tokens_in").value,
@@ -278,7 +278,7 @@
 
 fn read_pool(reader: &mut Reader<'_>) -> Named<Pool> {
     let name = reader.text("name");
-    let addresses = reader.texts("addresses");
+    let addresses = reader.text_list("addresses");
     if addresses.is_empty() {
         let remedy = "give the address of at least one replica";
         reader.error(
--- a/crates/stageyoke-config/src/difference.rs
+++ b/crates/stageyoke-config/src/difference.rs
@@ -45,7 +45,10 @@
 }
 
 /// Everything in which two configurations differ.
-pub fn difference(before: Option<&Configuration>, after: &Configuration) -> Vec<Difference> {
+pub fn compare_configurations(
+    before: Option<&Configuration>,
+    after: &Configuration,
+) -> Vec<Difference> {
     let mut differences = Vec::new();
     macro_rules! compare {
         ($section:literal, $field:ident, $name:ident) => {
--- a/crates/stageyoke-config/src/model.rs
+++ b/crates/stageyoke-config/src/model.rs
@@ -176,7 +176,7 @@
 
 impl Configuration {
     /// The tenant that holds a key.
-    pub fn tenant_of_key(&self, key: &str) -> Option<&Tenant> {
+    pub fn tenant_by_key(&self, key: &str) -> Option<&Tenant> {
         let hash = hash_key(key);
         self.tenants
             .iter()
@@ -192,7 +192,7 @@
     }
 
     /// The route of a path.
-    pub fn route_of(&self, path: &str) -> Option<&Route> {
+    pub fn route_for_path(&self, path: &str) -> Option<&Route> {
         self.routes.iter().find(|route| {
             let rest = path.strip_prefix(route.prefix.trim_end_matches('/'));
             rest.is_some_and(|rest| rest.is_empty() || rest.starts_with(['/', '?']))
--- a/crates/stageyoke-config/src/problem.rs
+++ b/crates/stageyoke-config/src/problem.rs
@@ -57,7 +57,7 @@
     }
 
     /// Line of a problem, from 1.
-    pub fn line_of(&self, problem: &Problem) -> usize {
+    pub fn line_number(&self, problem: &Problem) -> usize {
         let text = self.source.inner();
         let before = &text.as_bytes()[..problem.span.start.min(text.len())];
         before.iter().filter(|byte| **byte == b'\n').count() + 1
@@ -80,7 +80,7 @@
         let plural = if count == 1 { "" } else { "s" };
         writeln!(formatter, "{}: {count} problem{plural}", self.name)?;
         for problem in &self.problems {
-            let line = self.line_of(problem);
+            let line = self.line_number(problem);
             writeln!(
                 formatter,
                 "line {line}: {}; {}",
--- a/crates/stageyoke-config/src/reader.rs
+++ b/crates/stageyoke-config/src/reader.rs
@@ -6,7 +6,7 @@
 use toml::de::{DeTable, DeValue};
 
 use crate::problem::{Problem, Severity};
-use crate::schema::{Default, Field, Kind, Schema};
+use crate::schema::{DefaultValue, Field, Kind, Schema};
 
 /// Most edits between an unknown key and one that is suggested instead.
 const SUGGESTION_DISTANCE: usize = 3;
@@ -97,7 +97,7 @@
     }
 
     /// Calls `read` with the top of the file.
-    pub fn top<T>(&mut self, read: impl FnOnce(&mut Reader<'_>) -> T) -> T {
+    pub fn read_root<T>(&mut self, read: impl FnOnce(&mut Reader<'_>) -> T) -> T {
         let root = std::mem::replace(&mut self.root, Spanned::new(0..0, DeTable::new()));
         let table = Table {
             section: "",
@@ -115,7 +115,7 @@
     }
 
     /// Reads every table of a section.
-    pub fn each<T>(
+    pub fn read_each<T>(
         &mut self,
         section: &'static str,
         mut read: impl FnMut(&mut Reader<'_>) -> T,
@@ -242,13 +242,13 @@
             return located(String::new(), span);
         };
         let text = text.to_string();
-        if let Kind::Word(words) = field.kind
+        if let Kind::Choice(words) = field.kind
             && !words.contains(&text.as_str())
         {
             let remedy = format!("use one of: {}", words.join(", "));
             self.error(span.clone(), format!("`{key}` is `{text}`"), remedy);
         }
-        if text.is_empty() && field.default == Default::Required {
+        if text.is_empty() && field.default == DefaultValue::Required {
             self.error(span.clone(), format!("`{key}` is empty"), field.meaning);
         }
         located(text, span)
@@ -288,7 +288,7 @@
     pub fn flag(&mut self, key: &'static str) -> bool {
         let Some((field, value, span)) = self.find(key) else {
             let field = self.schema.field(self.table.section, key);
-            return field.is_some_and(|field| field.default == Default::Flag(true));
+            return field.is_some_and(|field| field.default == DefaultValue::Flag(true));
         };
         match value {
             DeValue::Boolean(flag) => *flag,
@@ -300,7 +300,7 @@
     }
 
     /// A list of texts.
-    pub fn texts(&mut self, key: &'static str) -> Vec<Located<String>> {
+    pub fn text_list(&mut self, key: &'static str) -> Vec<Located<String>> {
         let Some((field, value, span)) = self.find(key) else {
             return self.default_texts(key);
         };
@@ -331,7 +331,7 @@
     fn default_text(&mut self, key: &'static str) -> Located<String> {
         let span = self.span();
         match self.absent(key) {
-            Some(Default::Text(text)) => located(text.to_owned(), span),
+            Some(DefaultValue::Text(text)) => located(text.to_owned(), span),
             _ => located(String::new(), span),
         }
     }
@@ -339,7 +339,7 @@
     fn default_number(&mut self, key: &'static str) -> Located<u64> {
         let span = self.span();
         match self.absent(key) {
-            Some(Default::Number(number)) => located(number, span),
+            Some(DefaultValue::Number(number)) => located(number, span),
             _ => located(0, span),
         }
     }
@@ -350,9 +350,9 @@
     }
 
     /// The default of an absent key; a problem if it is required.
-    fn absent(&mut self, key: &'static str) -> Option<Default> {
+    fn absent(&mut self, key: &'static str) -> Option<DefaultValue> {
         let field = self.schema.field(self.table.section, key)?;
-        if field.default == Default::Required {
+        if field.default == DefaultValue::Required {
             let what = format!("`{key}` is missing in {}", self.place());
             let remedy = format!("add `{key}`: {}", field.meaning);
             self.error(self.span(), what, remedy);
--- a/crates/stageyoke-config/src/schema.rs
+++ b/crates/stageyoke-config/src/schema.rs
@@ -9,7 +9,7 @@
     /// Text.
     Text,
     /// A list of texts.
-    Texts,
+    TextList,
     /// A whole number within bounds.
     Number {
         /// Least value.
@@ -22,12 +22,12 @@
     /// True or false.
     Flag,
     /// One of a few words.
-    Word(&'static [&'static str]),
+    Choice(&'static [&'static str]),
 }
 
 /// What happens if a key is absent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Default {
+pub enum DefaultValue {
     /// It must be given.
     Required,
     /// This text, or the word.
@@ -52,7 +52,7 @@
     /// Unit, if it has one.
     pub unit: &'static str,
     /// What happens if it is absent.
-    pub default: Default,
+    pub default: DefaultValue,
     /// One sentence.
     pub meaning: &'static str,
 }
@@ -144,21 +144,21 @@
         };
         match self.kind {
             Kind::Text => "a text in quotes".to_owned(),
-            Kind::Texts => "a list of texts".to_owned(),
+            Kind::TextList => "a list of texts".to_owned(),
             Kind::Number { min, max } => format!("a whole number from {min} to {max}{unit}"),
             Kind::Percent => "a whole number from 0 to 100".to_owned(),
             Kind::Flag => "true or false".to_owned(),
-            Kind::Word(words) => format!("one of: {}", words.join(", ")),
+            Kind::Choice(words) => format!("one of: {}", words.join(", ")),
         }
     }
 
     fn describe_default(&self) -> String {
         match self.default {
-            Default::Required => "required".to_owned(),
-            Default::Text("") | Default::Empty => "none".to_owned(),
-            Default::Text(text) => format!("`{text}`"),
-            Default::Number(number) => number.to_string(),
-            Default::Flag(flag) => flag.to_string(),
+            DefaultValue::Required => "required".to_owned(),
+            DefaultValue::Text("") | DefaultValue::Empty => "none".to_owned(),
+            DefaultValue::Text(text) => format!("`{text}`"),
+            DefaultValue::Number(number) => number.to_string(),
+            DefaultValue::Flag(flag) => flag.to_string(),
         }
     }
 }
@@ -175,7 +175,7 @@
         key,
         kind,
         unit: "",
-        default: Default::Required,
+        default: DefaultValue::Required,
         meaning,
     }
 }
@@ -197,7 +197,7 @@
             max: bounds.1,
         },
         unit,
-        default: Default::Number(default),
+        default: DefaultValue::Number(default),
         meaning,
     }
 }
@@ -207,7 +207,7 @@
     section: &'static str,
     key: &'static str,
     kind: Kind,
-    default: Default,
+    default: DefaultValue,
     meaning: &'static str,
 ) -> Field {
     Field {
@@ -313,15 +313,15 @@
         optional(
             "policy",
             "queue",
-            Kind::Word(QUEUE_ORDERS),
-            Default::Text("least_attained"),
+            Kind::Choice(QUEUE_ORDERS),
+            DefaultValue::Text("least_attained"),
             "Order in which waiting calls get an engine's slots.",
         ),
         optional(
             "policy",
             "placement",
-            Kind::Word(PLACEMENTS),
-            Default::Text("cost_based"),
+            Kind::Choice(PLACEMENTS),
+            DefaultValue::Text("cost_based"),
             "How an engine is chosen for a call.",
         ),
         number(
@@ -351,14 +351,14 @@
         required(
             "tenant",
             "key_hashes",
-            Kind::Texts,
+            Kind::TextList,
             "Hashes of its keys, as `stageyoke keys` prints them.",
         ),
         optional(
             "tenant",
             "programs",
-            Kind::Texts,
-            Default::Empty,
+            Kind::TextList,
+            DefaultValue::Empty,
             "Program kinds it may use; none listed means all.",
         ),
         number(
@@ -415,7 +415,7 @@
             "engine",
             "leaving",
             Kind::Flag,
-            Default::Flag(false),
+            DefaultValue::Flag(false),
             "It gets no new work.",
         ),
         required(
@@ -430,14 +430,14 @@
             "program",
             "repeatable",
             Kind::Flag,
-            Default::Flag(true),
+            DefaultValue::Flag(true),
             "Whether a call without an idempotency key may run again after it may have run.",
         ),
         optional(
             "program",
             "tools",
-            Kind::Texts,
-            Default::Empty,
+            Kind::TextList,
+            DefaultValue::Empty,
             "Tool services it pauses for.",
         ),
         number(
@@ -534,7 +534,7 @@
         required(
             "pool",
             "addresses",
-            Kind::Texts,
+            Kind::TextList,
             "IP address and port of each replica.",
         ),
         required(
@@ -548,21 +548,21 @@
             "route",
             "legacy_pool",
             Kind::Text,
-            Default::Text(""),
+            DefaultValue::Text(""),
             "Pool that served it before, until the cut-over is signed off.",
         ),
         optional(
             "route",
             "legacy_percent",
             Kind::Percent,
-            Default::Number(0),
+            DefaultValue::Number(0),
             "Share of requests that still go to the legacy pool.",
         ),
         optional(
             "route",
             "signed_off",
             Kind::Flag,
-            Default::Flag(false),
+            DefaultValue::Flag(false),
             "The cut-over is signed off: the legacy pool gets nothing.",
         ),
         number(
--- a/crates/stageyoke-config/tests/check_test.rs
+++ b/crates/stageyoke-config/tests/check_test.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use stageyoke_config::check;
-use stageyoke_config::difference::{Change, difference};
+use stageyoke_config::difference::{Change, compare_configurations};
 use stageyoke_config::schema::CONFIGURATION;
 use stageyoke_config::sections::{bundle, join, split};
 use stageyoke_types::ConfigVersion;
@@ -69,7 +69,7 @@
     let lines: Vec<usize> = problems
         .list()
         .iter()
-        .map(|problem| problems.line_of(problem))
+        .map(|problem| problems.line_number(problem))
         .collect();
     let expected = [
         1, 2, 3, 5, 6, 8, 9, 12, 15, 16, 17, 22, 23, 24, 25, 27, 33, 34, 35, 37, 40, 41,
@@ -123,7 +123,7 @@
         .replace("signed_off = false", "signed_off = true")
         .replace("legacy_percent = 20", "legacy_percent = 0");
     let after = check("b", &text).expect("valid").config;
-    let changes = difference(Some(&before), &after);
+    let changes = compare_configurations(Some(&before), &after);
     assert_eq!(changes.len(), 1, "{changes:?}");
     assert_eq!(
         (changes[0].section, changes[0].change),
@@ -149,7 +149,7 @@
     let lines: Vec<usize> = problems
         .list()
         .iter()
-        .map(|problem| problems.line_of(problem))
+        .map(|problem| problems.line_number(problem))
         .collect();
     assert_eq!(lines, [first + 3, first + 6, first + 8], "{problems}");
 }
--- a/crates/stageyoke-node/src/callers/context.rs
+++ b/crates/stageyoke-node/src/callers/context.rs
@@ -62,7 +62,7 @@
             .get()
             .ok_or_else(|| Failure::not_run(ErrorKind::Unavailable, "no configuration yet"))?;
         let tenant = bearer_key(request.headers())
-            .and_then(|key| config.config.tenant_of_key(key))
+            .and_then(|key| config.config.tenant_by_key(key))
             .cloned()
             .ok_or_else(|| Failure::not_run(ErrorKind::Unauthorized, ""))?;
         self.count_stream(&tenant)?;
--- a/crates/stageyoke-node/src/callers/serve.rs
+++ b/crates/stageyoke-node/src/callers/serve.rs
@@ -131,7 +131,7 @@
         Err(reason) => return failure(&reason),
     };
     let config = &admitted.config.config;
-    let Some(route) = config.route_of(request.uri().path()) else {
+    let Some(route) = config.route_for_path(request.uri().path()) else {
         return refusal(ErrorKind::NotFound, "path");
     };
     let answered = context.applications.forward(config, route, request).await;
--- a/crates/stageyoke-node/src/settings.rs
+++ b/crates/stageyoke-node/src/settings.rs
@@ -5,7 +5,7 @@
 
 use stageyoke_config::problem::{Problem, Problems, Severity};
 use stageyoke_config::reader::{Document, Located, Reader};
-use stageyoke_config::schema::{Default, Field, Kind, Schema, number, optional, required};
+use stageyoke_config::schema::{DefaultValue, Field, Kind, Schema, number, optional, required};
 
 use crate::events::LogFormat;
 
@@ -26,7 +26,7 @@
             "",
             "region",
             Kind::Text,
-            Default::Text("default"),
+            DefaultValue::Text("default"),
             "Region the zone belongs to.",
         ),
         required(
@@ -50,22 +50,22 @@
         optional(
             "",
             "seeds",
-            Kind::Texts,
-            Default::Empty,
+            Kind::TextList,
+            DefaultValue::Empty,
             "Peer addresses of nodes that may already run.",
         ),
         optional(
             "",
             "store_addresses",
-            Kind::Texts,
-            Default::Empty,
+            Kind::TextList,
+            DefaultValue::Empty,
             "Addresses of the key-value service.",
         ),
         optional(
             "",
             "machine_list_address",
             Kind::Text,
-            Default::Text(""),
+            DefaultValue::Text(""),
             "Address of the platform's machine list.",
         ),
         required(
@@ -78,28 +78,28 @@
             "",
             "certificate_file",
             Kind::Text,
-            Default::Text(""),
+            DefaultValue::Text(""),
             "This node's certificate (PEM), for connections between nodes.",
         ),
         optional(
             "",
             "private_key_file",
             Kind::Text,
-            Default::Text(""),
+            DefaultValue::Text(""),
             "Key of the certificate (PEM).",
         ),
         optional(
             "",
             "authority_file",
             Kind::Text,
-            Default::Text(""),
+            DefaultValue::Text(""),
             "Certificate authority of the cluster (PEM).",
         ),
         optional(
             "",
             "data_folder",
             Kind::Text,
-            Default::Text(""),
+            DefaultValue::Text(""),
             "Folder for durable state; none means that nothing is kept.",
         ),
         number(
@@ -137,8 +137,8 @@
         optional(
             "",
             "log_format",
-            Kind::Word(&["text", "json"]),
-            Default::Text("text"),
+            Kind::Choice(&["text", "json"]),
+            DefaultValue::Text("text"),
             "Form of log lines.",
         ),
     ],
@@ -228,7 +228,7 @@
 pub fn parse(name: &str, text: &str, overrides: &Overrides) -> Result<Settings, Problems> {
     let mut document = Document::parse(text, SETTINGS)
         .map_err(|problem| Problems::new(name, text, vec![problem]))?;
-    let mut settings = document.top(read);
+    let mut settings = document.read_root(read);
     let problems = Problems::new(name, text, std::mem::take(&mut document.problems));
     if problems.has_errors() {
         return Err(problems);
@@ -283,7 +283,7 @@
 }
 
 fn addresses(reader: &mut Reader<'_>, key: &'static str) -> Vec<SocketAddr> {
-    let texts = reader.texts(key);
+    let texts = reader.text_list(key);
     let parsed = texts.iter().map(|text| parse_address(reader, text));
     parsed.collect()
 }
--- a/crates/stageyoke-node/tests/settings_test.rs
+++ b/crates/stageyoke-node/tests/settings_test.rs
@@ -40,7 +40,7 @@
     let lines: Vec<usize> = problems
         .list()
         .iter()
-        .map(|problem| problems.line_of(problem))
+        .map(|problem| problems.line_number(problem))
         .collect();
     assert_eq!(lines, [4, 6, 7, 8], "{problems}");
 }
