--- a/crates/stageyoke-cli/src/arguments.rs
+++ b/crates/stageyoke-cli/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The arguments of each verb.
+//! Arguments of each command. Doc comments are the `--help` texts, and field names the flags.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -24,11 +24,11 @@
     Reference(ReferenceArguments),
 }
 
-/// Check configuration files and show every problem with its place and remedy.
+/// Check configuration files and show every problem with its position and remedy.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "check")]
 pub struct CheckArguments {
-    /// files
+    /// configuration files
     #[argh(positional)]
     pub files: Vec<PathBuf>,
     /// fail on warnings too
@@ -39,11 +39,11 @@
     pub json: bool,
 }
 
-/// Show what a file would change of what is in force.
+/// Show how a file would change the configuration in force.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "plan")]
 pub struct PlanArguments {
-    /// file
+    /// configuration file
     #[argh(positional)]
     pub file: PathBuf,
     /// address of the key-value service; may be given more than once
@@ -54,26 +54,26 @@
     pub json: bool,
 }
 
-/// Apply a whole configuration and wait until it is in force everywhere.
+/// Apply a configuration file and wait until it is in force on every named node.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "apply")]
 pub struct ApplyArguments {
-    /// file
+    /// configuration file
     #[argh(positional)]
     pub file: PathBuf,
     /// address of the key-value service; may be given more than once
     #[argh(option)]
     pub store: Vec<SocketAddr>,
-    /// operators' address of a node; may be given more than once
+    /// operator address of a node; may be given more than once
     #[argh(option)]
     pub node: Vec<SocketAddr>,
-    /// version that was planned against; the current one if absent
+    /// version that the plan was based on; the current one if not given
     #[argh(option)]
     pub from_version: Option<u64>,
-    /// identifier of this apply, to settle one whose outcome is not known
+    /// identifier of an earlier apply whose outcome is unknown, to retry it safely
     #[argh(option)]
     pub apply_id: Option<String>,
-    /// longest time to wait until it is in force everywhere, in seconds
+    /// longest time to wait until every named node uses it, in seconds
     #[argh(option, default = "20")]
     pub wait_seconds: u64,
     /// print JSON
@@ -85,7 +85,7 @@
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "status")]
 pub struct StatusArguments {
-    /// operators' address of a node; may be given more than once
+    /// operator address of a node; may be given more than once
     #[argh(option)]
     pub node: Vec<SocketAddr>,
     /// print JSON
@@ -93,11 +93,11 @@
     pub json: bool,
 }
 
-/// Explain the numbered events.
+/// Explain log events by their numbers.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "events")]
 pub struct EventsArguments {
-    /// numbers; all if none is given
+    /// event numbers; all events if none is given
     #[argh(positional)]
     pub numbers: Vec<u16>,
     /// print JSON
@@ -105,7 +105,7 @@
     pub json: bool,
 }
 
-/// Make a tenant key and its hash, or hash one that is read from standard input.
+/// Generate a tenant key and its hash, or hash a key read from standard input.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "keys")]
 pub struct KeysArguments {
@@ -117,7 +117,7 @@
     pub json: bool,
 }
 
-/// Print every key of the configuration or of the settings file.
+/// Print the reference of every key of the configuration or settings file.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "reference")]
 pub struct ReferenceArguments {
--- a/crates/stageyoke-cli/src/bin/stageyoke.rs
+++ b/crates/stageyoke-cli/src/bin/stageyoke.rs
@@ -1,4 +1,4 @@
-//! `stageyoke`: the operators' command line.
+//! Entry point of `stageyoke`, the operators' command line.
 
 use std::process::ExitCode;
 
--- a/crates/stageyoke-cli/src/commands.rs
+++ b/crates/stageyoke-cli/src/commands.rs
@@ -1,4 +1,4 @@
-//! What each verb does.
+//! Implementation of each command.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -25,12 +25,12 @@
 };
 use crate::output::{Failure, exit_code, print_json};
 
-/// How often nodes are asked whether a version is in force.
-const POLL: Duration = Duration::from_millis(200);
-/// Longest wait for one node's answer.
+/// Delay between status polls of the nodes, and between attempts of an apply.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Timeout of one request to a node.
 const NODE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Tries of an apply whose answer was lost.
-const APPLY_TRIES: usize = 5;
+/// Maximum number of attempts to write a version while the key-value service returns errors.
+const MAX_APPLY_ATTEMPTS: usize = 5;
 
 fn read_and_check(path: &Path) -> Result<(String, CheckedConfig), Failure> {
     let text = std::fs::read_to_string(path).map_err(|error| {
@@ -44,7 +44,7 @@
 }
 
 fn problems_json(problems: &Problems) -> Value {
-    let list = problems.list().iter().map(|problem| {
+    let items = problems.list().iter().map(|problem| {
         json!({
             "severity": format!("{:?}", problem.severity).to_lowercase(),
             "line": problems.line_number(problem),
@@ -52,20 +52,20 @@
             "remedy": problem.remedy,
         })
     });
-    Value::Array(list.collect())
+    Value::Array(items.collect())
 }
 
-/// `check`.
+/// Implements `check`: validates files and prints their problems.
 pub fn check(arguments: &CheckArguments) -> Result<ExitCode, Failure> {
     if arguments.files.is_empty() {
         return Err(Failure::new(ErrorKind::BadRequest, "name a file to check"));
     }
     let mut code = ExitCode::SUCCESS;
     for file in &arguments.files {
-        let (problems, is_bad) = match read_and_check(file) {
+        let (problems, is_rejected) = match read_and_check(file) {
             Ok((_, checked)) => {
-                let is_bad = arguments.strict && !checked.warnings.list().is_empty();
-                (checked.warnings, is_bad)
+                let is_rejected = arguments.strict && !checked.warnings.list().is_empty();
+                (checked.warnings, is_rejected)
             }
             Err(Failure::File(problems)) => (problems, true),
             Err(other) => return Err(other),
@@ -77,18 +77,18 @@
         } else {
             eprintln!("{:?}", miette::Report::new(problems));
         }
-        if is_bad {
+        if is_rejected {
             code = exit_code(ErrorKind::ConfigInvalid);
         }
     }
     Ok(code)
 }
 
-fn store_failure(error: StoreError) -> Failure {
+fn key_value_failure(error: StoreError) -> Failure {
     Failure::new(ErrorKind::StoreUnavailable, error.to_string())
 }
 
-fn store_client(addresses: &[SocketAddr]) -> Result<KeyValueClient, Failure> {
+fn new_key_value_client(addresses: &[SocketAddr]) -> Result<KeyValueClient, Failure> {
     if addresses.is_empty() {
         let message = "give the key-value service's address with --store";
         return Err(Failure::new(ErrorKind::BadRequest, message));
@@ -96,7 +96,7 @@
     Ok(KeyValueClient::new(addresses.to_vec()))
 }
 
-fn differences(current: Option<&ConfigRecord>, after: &Configuration) -> Vec<Difference> {
+fn compare_with_current(current: Option<&ConfigRecord>, after: &Configuration) -> Vec<Difference> {
     let before = current.and_then(|record| {
         let checked = stageyoke_config::check("in force", &record.text).ok()?;
         Some(checked.config)
@@ -106,7 +106,7 @@
 
 fn print_plan(version: u64, changes: &[Difference], as_json: bool) {
     if as_json {
-        let list = changes.iter().map(|change| {
+        let items = changes.iter().map(|change| {
             json!({
                 "section": change.section,
                 "name": change.name,
@@ -114,7 +114,7 @@
                 "risk": change.risk,
             })
         });
-        print_json(&json!({ "from_version": version, "changes": list.collect::<Vec<_>>() }));
+        print_json(&json!({ "from_version": version, "changes": items.collect::<Vec<_>>() }));
         return;
     }
     println!("against version {version}: {} changes", changes.len());
@@ -123,57 +123,63 @@
     }
 }
 
-/// `plan`.
+/// Implements `plan`: prints how a file differs from the configuration in force.
 pub async fn plan(arguments: &PlanArguments) -> Result<ExitCode, Failure> {
     let (_, checked) = read_and_check(&arguments.file)?;
-    let store = store_client(&arguments.store)?;
-    let current = config_source::read(&store).await.map_err(store_failure)?;
+    let store = new_key_value_client(&arguments.store)?;
+    let current = config_source::read(&store)
+        .await
+        .map_err(key_value_failure)?;
     let current = current.map(|(record, _)| record);
     let version = current.as_ref().map_or(0, |record| record.version);
-    let changes = differences(current.as_ref(), &checked.config);
+    let changes = compare_with_current(current.as_ref(), &checked.config);
     print_plan(version, &changes, arguments.json);
     Ok(ExitCode::SUCCESS)
 }
 
-/// `apply`.
+/// Implements `apply`: writes a new version to the key-value service and waits until the
+/// named nodes use it.
 pub async fn apply(arguments: &ApplyArguments) -> Result<ExitCode, Failure> {
     let (text, checked) = read_and_check(&arguments.file)?;
-    let store = store_client(&arguments.store)?;
-    let current = config_source::read(&store).await.map_err(store_failure)?;
+    let store = new_key_value_client(&arguments.store)?;
+    let current = config_source::read(&store)
+        .await
+        .map_err(key_value_failure)?;
     let current = current.map(|(record, _)| record);
     let current_version = current.as_ref().map_or(0, |record| record.version);
-    let planned_against = arguments.from_version.unwrap_or(current_version);
+    let base_version = arguments.from_version.unwrap_or(current_version);
     if !arguments.json {
         print_plan(
             current_version,
-            &differences(current.as_ref(), &checked.config),
+            &compare_with_current(current.as_ref(), &checked.config),
             false,
         );
     }
-    let fresh_id = || format!("{:032x}", rand::random::<u128>());
+    let new_apply_id = || format!("{:032x}", rand::random::<u128>());
     let record = ConfigRecord {
-        version: planned_against + 1,
-        apply_id: arguments.apply_id.clone().unwrap_or_else(fresh_id),
+        version: base_version + 1,
+        apply_id: arguments.apply_id.clone().unwrap_or_else(new_apply_id),
         operator: std::env::var("USER").unwrap_or_else(|_| "unknown".to_owned()),
         text,
     };
-    let version = accept(&store, planned_against, &record).await?;
+    let version = write_record(&store, base_version, &record).await?;
     let record = ConfigRecord { version, ..record };
-    pass_on(&arguments.node, &record).await;
-    wait_in_force(arguments, &record).await
+    send_to_nodes(&arguments.node, &record).await;
+    wait_until_in_force(arguments, &record).await
 }
 
-/// Moves the record; a lost answer is settled by the apply's identifier.
-async fn accept(
+/// Writes the record to the key-value service. A retry after a lost response is safe, since
+/// the record's `apply_id` shows whether an earlier attempt was accepted.
+async fn write_record(
     store: &KeyValueClient,
-    planned_against: u64,
+    base_version: u64,
     record: &ConfigRecord,
 ) -> Result<u64, Failure> {
-    for _ in 0..APPLY_TRIES {
-        match config_source::apply(store, planned_against, record.clone()).await {
+    for _ in 0..MAX_APPLY_ATTEMPTS {
+        match config_source::apply(store, base_version, record.clone()).await {
             Ok(Applied::Accepted(version)) => return Ok(version),
-            Ok(Applied::Lost(winner)) => return Err(lost(planned_against, winner)),
-            Err(_) => tokio::time::sleep(POLL).await,
+            Ok(Applied::Lost(winner)) => return Err(conflict_failure(base_version, winner)),
+            Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
     let message = format!(
@@ -183,32 +189,32 @@
     Err(Failure::new(ErrorKind::StoreUnavailable, message))
 }
 
-fn lost(planned_against: u64, winner: Option<ConfigRecord>) -> Failure {
+fn conflict_failure(base_version: u64, winner: Option<ConfigRecord>) -> Failure {
     let message = match winner {
         Some(winner) => format!(
-            "version {} was applied by {} after version {planned_against}; run plan again",
+            "version {} was applied by {} after version {base_version}; run plan again",
             winner.version, winner.operator
         ),
-        None => format!("there is no version {planned_against} to start from"),
+        None => format!("there is no version {base_version} to start from"),
     };
     Failure::new(ErrorKind::ConfigConflict, message)
 }
 
-/// Tells the nodes directly, so that an outage of the store right after the
-/// acceptance delays nothing.
-async fn pass_on(nodes: &[SocketAddr], record: &ConfigRecord) {
+/// Sends the record to the nodes directly, so that an outage of the key-value service right
+/// after the write doesn't delay the rollout.
+async fn send_to_nodes(nodes: &[SocketAddr], record: &ConfigRecord) {
     let http = http_client();
     let body = serde_json::to_vec(record).unwrap_or_default();
     for node in nodes {
         let request = Request::post(format!("http://{node}/config"));
         if let Ok(request) = request.body(full_body(body.clone())) {
-            // Nodes that miss it hear of it from the others.
+            // A node that misses the request receives the record from its peers.
             let _ = tokio::time::timeout(NODE_TIMEOUT, http.request(request)).await;
         }
     }
 }
 
-async fn wait_in_force(
+async fn wait_until_in_force(
     arguments: &ApplyArguments,
     record: &ConfigRecord,
 ) -> Result<ExitCode, Failure> {
@@ -225,7 +231,7 @@
     while started.elapsed() < Duration::from_secs(arguments.wait_seconds) {
         lagging.clear();
         for node in &arguments.node {
-            let status = node_status(&http, *node).await;
+            let status = fetch_node_status(&http, *node).await;
             let version = status.and_then(|status| status["config_version"].as_u64());
             if version.is_none_or(|version| version < record.version) {
                 lagging.push(node.to_string());
@@ -234,7 +240,7 @@
         if lagging.is_empty() {
             break;
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     let seconds = started.elapsed().as_secs_f64();
     if arguments.json {
@@ -261,29 +267,29 @@
     Err(Failure::new(ErrorKind::DeadlineExceeded, message))
 }
 
-async fn node_status(http: &HttpClient, node: SocketAddr) -> Option<Value> {
+async fn fetch_node_status(http: &HttpClient, node: SocketAddr) -> Option<Value> {
     let request = Request::get(format!("http://{node}/status"));
     let request = request.body(full_body(Vec::new())).ok()?;
-    let answered = tokio::time::timeout(NODE_TIMEOUT, async {
+    let response = tokio::time::timeout(NODE_TIMEOUT, async {
         let response = http.request(request).await.ok()?;
         let is_ok = response.status() == StatusCode::OK;
         let body = response.into_body().collect().await.ok()?.to_bytes();
         serde_json::from_slice(&body).ok().filter(|_| is_ok)
     });
-    answered.await.ok().flatten()
+    response.await.ok().flatten()
 }
 
-/// `status`.
+/// Implements `status`: prints the state of each named node.
 pub async fn status(arguments: &StatusArguments) -> Result<ExitCode, Failure> {
     if arguments.node.is_empty() {
         let message = "give the operators' address of a node with --node";
         return Err(Failure::new(ErrorKind::BadRequest, message));
     }
     let http = http_client();
-    let mut silent = 0;
+    let mut unreachable_nodes = 0;
     for node in &arguments.node {
-        let Some(status) = node_status(&http, *node).await else {
-            silent += 1;
+        let Some(status) = fetch_node_status(&http, *node).await else {
+            unreachable_nodes += 1;
             println!("{node}: no answer");
             continue;
         };
@@ -308,22 +314,22 @@
             );
         }
     }
-    if silent == arguments.node.len() {
+    if unreachable_nodes == arguments.node.len() {
         return Err(Failure::new(ErrorKind::Unavailable, "no node answered"));
     }
     Ok(ExitCode::SUCCESS)
 }
 
-/// `events`.
+/// Implements `events`: prints the meaning of log events.
 pub fn events(arguments: &EventsArguments) -> Result<ExitCode, Failure> {
-    let wanted = |event: &&Event| {
+    let is_requested = |event: &&Event| {
         arguments.numbers.is_empty() || arguments.numbers.contains(&event.number())
     };
-    let found: Vec<&Event> = Event::ALL.iter().filter(wanted).collect();
-    if found.is_empty() {
+    let events: Vec<&Event> = Event::ALL.iter().filter(is_requested).collect();
+    if events.is_empty() {
         return Err(Failure::new(ErrorKind::NotFound, "there is no such event"));
     }
-    for event in found {
+    for event in events {
         if arguments.json {
             print_json(&json!({
                 "number": event.number(),
@@ -343,7 +349,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// `keys`.
+/// Implements `keys`: prints a new or given tenant key's hash.
 pub fn keys(arguments: &KeysArguments) -> Result<ExitCode, Failure> {
     let key = match arguments.action.as_str() {
         "new" => format!(
@@ -374,7 +380,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// `reference`.
+/// Implements `reference`: prints the schema of a file as Markdown.
 pub fn reference(arguments: &ReferenceArguments) -> Result<ExitCode, Failure> {
     let schema = match arguments.file.as_str() {
         "config" => CONFIGURATION,
--- a/crates/stageyoke-cli/src/lib.rs
+++ b/crates/stageyoke-cli/src/lib.rs
@@ -1,5 +1,5 @@
-//! The operators' command line: check, plan, apply, status, programs, events
-//! and keys.
+//! The operators' command line: check, plan, apply, status, events, keys and
+//! reference.
 
 mod arguments;
 mod commands;
@@ -10,7 +10,7 @@
 use arguments::{Arguments, Command};
 use output::Failure;
 
-/// Runs the command line.
+/// Parses the arguments, runs the command and returns its exit code.
 pub fn run() -> ExitCode {
     let arguments: Arguments = argh::from_env();
     match dispatch(arguments.command) {
--- a/crates/stageyoke-cli/src/output.rs
+++ b/crates/stageyoke-cli/src/output.rs
@@ -1,4 +1,4 @@
-//! Output and exit codes. The code of a failure comes from the error table.
+//! Printed output and exit codes. A failure's exit code is that of its error kind.
 
 use std::fmt::Display;
 use std::process::ExitCode;
@@ -6,21 +6,21 @@
 use stageyoke_config::Problems;
 use stageyoke_types::ErrorKind;
 
-/// A verb that could not do its work.
+/// Reason why a command failed.
 pub enum Failure {
-    /// Problems of a file.
+    /// A configuration file has errors.
     File(Problems),
-    /// Anything else.
+    /// Any other failure.
     Other {
-        /// Kind.
+        /// Error kind; determines the exit code and the advice on retries.
         kind: ErrorKind,
-        /// What happened, and what to do.
+        /// Cause, and what the operator can do.
         message: String,
     },
 }
 
 impl Failure {
-    /// A failure of a kind.
+    /// Creates a failure of the given kind.
     pub fn new(kind: ErrorKind, message: impl Into<String>) -> Self {
         Self::Other {
             kind,
@@ -28,12 +28,12 @@
         }
     }
 
-    /// A fault of the program or its surroundings.
+    /// Wraps an unexpected error of the program or the operating system.
     pub fn internal(error: &impl Display) -> Self {
         Self::new(ErrorKind::Internal, error.to_string())
     }
 
-    /// Prints the failure and gives its exit code.
+    /// Prints the failure to standard error and returns its exit code.
     pub fn report(self) -> ExitCode {
         match self {
             Self::File(problems) => {
@@ -41,9 +41,9 @@
                 exit_code(ErrorKind::ConfigInvalid)
             }
             Self::Other { kind, message } => {
-                let answer = kind.response();
-                eprintln!("{}: {message}", answer.name);
-                if let Some(seconds) = answer.retry.retry_after_seconds() {
+                let response = kind.response();
+                eprintln!("{}: {message}", response.name);
+                if let Some(seconds) = response.retry.retry_after_seconds() {
                     eprintln!("try again after {seconds} s");
                 }
                 exit_code(kind)
@@ -52,12 +52,12 @@
     }
 }
 
-/// Exit code of a kind.
+/// Returns the exit code of an error kind.
 pub fn exit_code(kind: ErrorKind) -> ExitCode {
     ExitCode::from(kind.response().exit_code as u8)
 }
 
-/// Prints a value as JSON.
+/// Prints a value as indented JSON.
 pub fn print_json(value: &serde_json::Value) {
     println!("{value:#}");
 }
--- a/crates/stageyoke-config/src/check.rs
+++ b/crates/stageyoke-config/src/check.rs
@@ -1,4 +1,4 @@
-//! From text to a validated configuration, with every problem at once.
+//! Parses and validates a configuration file; reports all of its problems together.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,27 +16,27 @@
 use crate::schema::CONFIGURATION;
 
 const MS_PER_SECOND: u64 = 1_000;
-const HASH_HEX_LENGTH: usize = 64;
+const KEY_HASH_HEX_DIGITS: usize = 64;
 
-/// A configuration and the warnings about it.
+/// A valid configuration and the warnings about its file.
 #[derive(Debug)]
 pub struct CheckedConfig {
-    /// The configuration.
+    /// The validated configuration.
     pub config: Configuration,
-    /// Warnings.
+    /// Warnings about the file; may be empty.
     pub warnings: Problems,
 }
 
-/// Checks a whole file. On errors, all of them and all warnings are returned.
+/// Checks a configuration file. If it has errors, returns all errors and warnings.
 pub fn check(name: &str, text: &str) -> Result<CheckedConfig, Problems> {
     let mut document = match Document::parse(text, CONFIGURATION) {
         Ok(document) => document,
         Err(problem) => return Err(Problems::new(name, text, vec![problem])),
     };
-    let raw = read(&mut document);
-    check_names(&mut document, &raw);
+    let raw = read_configuration(&mut document);
+    check_duplicates(&mut document, &raw);
     check_references(&mut document, &raw);
-    check_sense(&mut document, &raw);
+    check_consistency(&mut document, &raw);
     let problems = Problems::new(name, text, std::mem::take(&mut document.problems));
     if problems.has_errors() {
         return Err(problems);
@@ -47,11 +47,13 @@
     })
 }
 
+/// An item and the name or prefix that must be unique in its section.
 struct Named<T> {
     name: Located<String>,
     body: T,
 }
 
+/// An engine whose reference to a model is not yet checked.
 struct RawEngine {
     model: Located<String>,
     engine: Engine,
@@ -77,7 +79,8 @@
     route: Route,
 }
 
-struct Raw {
+/// A file as read: invalid values are replaced, references are not yet checked.
+struct RawConfiguration {
     name: String,
     limits: CallerLimits,
     policy: Policy,
@@ -91,12 +94,12 @@
     routes: Vec<Named<RawRoute>>,
 }
 
-fn read(document: &mut Document<'_>) -> Raw {
+fn read_configuration(document: &mut Document<'_>) -> RawConfiguration {
     let name = document.read_root(|reader| {
         reader.number("schema");
         reader.text("name").value
     });
-    Raw {
+    RawConfiguration {
         name,
         limits: read_limits(document),
         policy: read_policy(document),
@@ -125,7 +128,7 @@
     read_single(document, "limits", read)
 }
 
-/// Reads a section that stands once, or its defaults if it is absent.
+/// Reads a section that may appear only once, or its defaults if it is absent.
 fn read_single<T>(
     document: &mut Document<'_>,
     section: &'static str,
@@ -134,8 +137,8 @@
     if let Some(value) = document.read_each(section, &read).pop() {
         return value;
     }
-    let empty = format!("[{section}]");
-    let mut defaults = match Document::parse(&empty, CONFIGURATION) {
+    let empty_section = format!("[{section}]");
+    let mut defaults = match Document::parse(&empty_section, CONFIGURATION) {
         Ok(defaults) => defaults,
         Err(_) => unreachable!("an empty section is valid"),
     };
@@ -172,8 +175,8 @@
     let programs = reader.text_list("programs");
     let tenant = Tenant {
         name: name.value.clone(),
-        key_hashes: values(&hashes),
-        programs: values(&programs),
+        key_hashes: values_of(&hashes),
+        programs: values_of(&programs),
         streams: reader.number("streams").value,
         weight: reader.number("weight").value,
     };
@@ -187,17 +190,18 @@
     }
 }
 
-/// A key in clear text must never reach the store.
+/// Rejects anything but a key hash, so that no key in clear text gets into the key-value
+/// service.
 fn check_key_hash(reader: &mut Reader<'_>, hash: &Located<String>) {
     let digits = hash.value.strip_prefix(KEY_HASH_PREFIX);
     let is_hash = digits.is_some_and(|digits| {
-        digits.len() == HASH_HEX_LENGTH && digits.bytes().all(|byte| byte.is_ascii_hexdigit())
+        digits.len() == KEY_HASH_HEX_DIGITS && digits.bytes().all(|byte| byte.is_ascii_hexdigit())
     });
     if !is_hash {
         reader.error(
             hash.span.clone(),
             "this is not a key hash, and may be a key in clear text".to_owned(),
-            "replace it by the hash that `stageyoke keys hash` prints; if it was a key, change it",
+            "replace it with the hash that `stageyoke keys hash` prints; if it was a key, rotate it",
         );
     }
 }
@@ -250,7 +254,7 @@
         priority: 0,
         model: model.value.clone(),
         repeatable: reader.flag("repeatable"),
-        tools: values(&tools),
+        tools: values_of(&tools),
         limits,
         deadline_seconds: reader.number("deadline_seconds").value,
         max_tokens: reader.number("max_tokens").value as u32,
@@ -333,22 +337,22 @@
 }
 
 fn parse_address(reader: &mut Reader<'_>, text: &Located<String>) -> SocketAddr {
-    let unset = SocketAddr::from(([0, 0, 0, 0], 0));
+    let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
     if text.value.is_empty() {
-        return unset;
+        return unspecified;
     }
     text.value.parse().unwrap_or_else(|_| {
         let what = format!("`{}` is not an IP address and port", text.value);
         reader.error(text.span.clone(), what, "write it as \"10.0.0.1:8080\"");
-        unset
+        unspecified
     })
 }
 
-fn values(located: &[Located<String>]) -> Vec<String> {
-    located.iter().map(|item| item.value.clone()).collect()
+fn values_of(items: &[Located<String>]) -> Vec<String> {
+    items.iter().map(|item| item.value.clone()).collect()
 }
 
-fn check_names(document: &mut Document<'_>, raw: &Raw) {
+fn check_duplicates(document: &mut Document<'_>, raw: &RawConfiguration) {
     check_unique(document, "class", &raw.classes);
     check_unique(document, "tenant", &raw.tenants);
     check_unique(document, "model", &raw.models);
@@ -357,30 +361,30 @@
     check_unique(document, "tool", &raw.tools);
     check_unique(document, "pool", &raw.pools);
     check_unique(document, "route", &raw.routes);
-    check_keys(document, raw);
+    check_tenant_keys(document, raw);
 }
 
-fn check_unique<T>(document: &mut Document<'_>, what: &str, items: &[Named<T>]) {
+fn check_unique<T>(document: &mut Document<'_>, kind: &str, items: &[Named<T>]) {
     let mut seen = BTreeMap::new();
     for item in items {
         let name = item.name.value.as_str();
         if !name.is_empty() && seen.insert(name, ()).is_some() {
-            let message = format!("there are two of {what} `{name}`");
+            let message = format!("duplicate {kind} `{name}`");
             document.error(item.name.span.clone(), message, "rename or remove one");
         }
     }
 }
 
-/// A key must tell one tenant, and a tenant without any can't call.
-fn check_keys(document: &mut Document<'_>, raw: &Raw) {
-    let mut holders: BTreeMap<&str, &str> = BTreeMap::new();
+/// Checks that each key belongs to one tenant only and that each tenant has a key.
+fn check_tenant_keys(document: &mut Document<'_>, raw: &RawConfiguration) {
+    let mut owners: BTreeMap<&str, &str> = BTreeMap::new();
     for tenant in &raw.tenants {
         let name = tenant.name.value.as_str();
         for hash in &tenant.body.key_hashes {
-            let Some(holder) = holders.insert(hash.value.as_str(), name) else {
+            let Some(owner) = owners.insert(hash.value.as_str(), name) else {
                 continue;
             };
-            let message = format!("tenant `{holder}` holds this key already");
+            let message = format!("this key already belongs to tenant `{owner}`");
             document.error(
                 hash.span.clone(),
                 message,
@@ -394,16 +398,16 @@
     }
 }
 
-fn check_references(document: &mut Document<'_>, raw: &Raw) {
+fn check_references(document: &mut Document<'_>, raw: &RawConfiguration) {
     let mut references: Vec<(&str, &Located<String>, bool)> = Vec::new();
-    let known = |names: Vec<&str>, name: &str| names.contains(&name);
-    let names_of = |kind: &str| -> Vec<&str> {
+    let is_declared = |names: Vec<&str>, name: &str| names.contains(&name);
+    let declared_names = |kind: &str| -> Vec<&str> {
         match kind {
-            "class" => names(&raw.classes),
-            "model" => names(&raw.models),
-            "program" => names(&raw.programs),
-            "tool" => names(&raw.tools),
-            _ => names(&raw.pools),
+            "class" => names_of(&raw.classes),
+            "model" => names_of(&raw.models),
+            "program" => names_of(&raw.programs),
+            "tool" => names_of(&raw.tools),
+            _ => names_of(&raw.pools),
         }
     };
     for program in &raw.programs {
@@ -426,7 +430,7 @@
     for (kind, reference, may_be_empty) in references {
         let name = reference.value.as_str();
         let skip = name.is_empty() && (may_be_empty || reference.value.is_empty());
-        if !skip && !known(names_of(kind), name) {
+        if !skip && !is_declared(declared_names(kind), name) {
             dangling.push(Problem {
                 severity: crate::problem::Severity::Error,
                 span: reference.span.clone(),
@@ -438,21 +442,24 @@
     document.problems.extend(dangling);
 }
 
-fn names<T>(items: &[Named<T>]) -> Vec<&str> {
+fn names_of<T>(items: &[Named<T>]) -> Vec<&str> {
     items.iter().map(|item| item.name.value.as_str()).collect()
 }
 
-/// Checks that what is declared can serve what is asked of it.
-fn check_sense(document: &mut Document<'_>, raw: &Raw) {
+/// Checks that models have engines, classes are used, and limits and routes make sense.
+fn check_consistency(document: &mut Document<'_>, raw: &RawConfiguration) {
     for program in &raw.programs {
         let kind = &program.body.kind;
-        let served = raw
+        let is_served = raw
             .engines
             .iter()
             .any(|engine| engine.body.engine.model == kind.model && !engine.body.engine.leaving);
-        let model_known = names(&raw.models).contains(&kind.model.as_str());
-        if model_known && !served {
-            let what = format!("no engine that stays serves model `{}`", kind.model);
+        let is_model_declared = names_of(&raw.models).contains(&kind.model.as_str());
+        if is_model_declared && !is_served {
+            let what = format!(
+                "no engine serves model `{}`, or all of them are leaving",
+                kind.model
+            );
             document.error(
                 program.body.model.span.clone(),
                 what,
@@ -468,15 +475,15 @@
             .iter()
             .any(|program| program.body.class.value == *name)
         {
-            let what = format!("no program is of class `{name}`");
+            let what = format!("no program uses class `{name}`");
             document.warning(class.name.span.clone(), what, "remove it, or use it");
         }
     }
     for route in &raw.routes {
         let body = &route.body;
         if body.legacy_percent.value > 0 && body.legacy.value.is_empty() {
-            let what = "a share is given to a legacy pool that is not named".to_owned();
-            let remedy = "name it as `legacy_pool`, or remove the share";
+            let what = "`legacy_percent` is set, but `legacy_pool` is not".to_owned();
+            let remedy = "set `legacy_pool`, or remove `legacy_percent`";
             document.error(body.legacy_percent.span.clone(), what, remedy);
         }
         if body.route.signed_off && body.legacy_percent.value > 0 {
@@ -486,7 +493,11 @@
     }
 }
 
-fn check_program_budget(document: &mut Document<'_>, raw: &Raw, program: &Named<RawProgram>) {
+fn check_program_budget(
+    document: &mut Document<'_>,
+    raw: &RawConfiguration,
+    program: &Named<RawProgram>,
+) {
     let kind = &program.body.kind;
     let span = program.name.span.clone();
     let model = raw
@@ -502,12 +513,9 @@
         );
         document.error(span.clone(), what, "lower it, or use a larger model");
     }
-    let out = kind.limits.tokens_out;
-    if out != 0 && out < u64::from(kind.max_tokens) {
-        let what = format!(
-            "`{}` cannot make one call within its `tokens_out`",
-            kind.name
-        );
+    let tokens_out = kind.limits.tokens_out;
+    if tokens_out != 0 && tokens_out < u64::from(kind.max_tokens) {
+        let what = format!("`tokens_out` of `{}` is too low for one call", kind.name);
         document.error(
             span.clone(),
             what,
@@ -516,42 +524,42 @@
     }
     if (kind.limits.depth == 0) != (kind.limits.fan_out == 0) {
         let what = format!(
-            "`{}` allows sub-agents by only one of two limits",
+            "`{}` sets only one of the two limits on sub-agents",
             kind.name
         );
         document.warning(span, what, "set both `depth` and `fan_out`, or neither");
     }
 }
 
-impl Raw {
+impl RawConfiguration {
     fn into_configuration(self) -> Configuration {
         let classes: BTreeMap<String, u8> = self
             .classes
             .into_iter()
             .map(|class| (class.name.value, class.body))
             .collect();
-        let mut programs: Vec<ProgramKind> = bodies(self.programs, |program| program.kind);
+        let mut programs: Vec<ProgramKind> = map_bodies(self.programs, |program| program.kind);
         for program in &mut programs {
             program.priority = classes.get(&program.class).copied().unwrap_or_default();
         }
-        let mut routes: Vec<Route> = bodies(self.routes, |route| route.route);
+        let mut routes: Vec<Route> = map_bodies(self.routes, |route| route.route);
         routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         Configuration {
             name: self.name,
             limits: self.limits,
             policy: self.policy,
             classes,
-            tenants: bodies(self.tenants, |tenant| tenant.tenant),
-            models: bodies(self.models, |model| model),
-            engines: bodies(self.engines, |engine| engine.engine),
+            tenants: map_bodies(self.tenants, |tenant| tenant.tenant),
+            models: map_bodies(self.models, |model| model),
+            engines: map_bodies(self.engines, |engine| engine.engine),
             programs,
-            tools: bodies(self.tools, |tool| tool),
-            pools: bodies(self.pools, |pool| pool),
+            tools: map_bodies(self.tools, |tool| tool),
+            pools: map_bodies(self.pools, |pool| pool),
             routes,
         }
     }
 }
 
-fn bodies<T, U>(items: Vec<Named<T>>, body: impl Fn(T) -> U) -> Vec<U> {
-    items.into_iter().map(|item| body(item.body)).collect()
+fn map_bodies<T, U>(items: Vec<Named<T>>, convert: impl Fn(T) -> U) -> Vec<U> {
+    items.into_iter().map(|item| convert(item.body)).collect()
 }
--- a/crates/stageyoke-config/src/difference.rs
+++ b/crates/stageyoke-config/src/difference.rs
@@ -1,31 +1,31 @@
-//! What a new configuration changes.
+//! Compares two configurations, so that operators see what an apply would change.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Debug};
 
 use crate::model::Configuration;
 
-/// What happens to one declared thing.
+/// How a declared item changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// It is new.
+    /// The item exists only in the new configuration.
     Added,
-    /// It is there with other values.
+    /// The item exists in both configurations with different values.
     Changed,
-    /// It is gone.
+    /// The item exists only in the old configuration.
     Removed,
 }
 
-/// One difference.
+/// A declared item that differs between two configurations.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Difference {
-    /// Kind of thing, such as `engine`.
+    /// Section that declares the item, such as `engine`.
     pub section: &'static str,
-    /// Its name.
+    /// Name of the item; a route's prefix; the section's own name for a single section.
     pub name: String,
-    /// What happens to it.
+    /// How the item changes.
     pub change: Change,
-    /// What an operator should know before going on, if anything.
+    /// Consequence for callers that an operator should know before an apply.
     pub risk: Option<&'static str>,
 }
 
@@ -44,7 +44,8 @@
     }
 }
 
-/// Everything in which two configurations differ.
+/// Lists the items that differ; without an old configuration, all of the new one. A class
+/// is not listed itself: a new priority shows as a change of the class's programs.
 pub fn compare_configurations(
     before: Option<&Configuration>,
     after: &Configuration,
@@ -52,14 +53,14 @@
     let mut differences = Vec::new();
     macro_rules! compare {
         ($section:literal, $field:ident, $name:ident) => {
-            let named = |config: &Configuration| -> BTreeMap<String, String> {
+            let values_by_name = |config: &Configuration| -> BTreeMap<String, String> {
                 let items = config.$field.iter();
                 items
-                    .map(|item| (item.$name.clone(), describe(item)))
+                    .map(|item| (item.$name.clone(), debug_text(item)))
                     .collect()
             };
-            let old = before.map(named).unwrap_or_default();
-            compare_named($section, &old, &named(after), &mut differences);
+            let old = before.map(values_by_name).unwrap_or_default();
+            compare_items($section, &old, &values_by_name(after), &mut differences);
         };
     }
     compare!("tenant", tenants, name);
@@ -69,7 +70,7 @@
     compare!("tool", tools, name);
     compare!("pool", pools, name);
     compare!("route", routes, prefix);
-    let single = |section, old: Option<String>, new: String| {
+    let compare_single = |section, old: Option<String>, new: String| {
         let changed = old.as_ref() != Some(&new);
         changed.then(|| Difference {
             section,
@@ -82,18 +83,18 @@
             risk: None,
         })
     };
-    let limits = before.map(|config| describe(&config.limits));
-    differences.extend(single("limits", limits, describe(&after.limits)));
-    let policy = before.map(|config| describe(&config.policy));
-    differences.extend(single("policy", policy, describe(&after.policy)));
+    let limits = before.map(|config| debug_text(&config.limits));
+    differences.extend(compare_single("limits", limits, debug_text(&after.limits)));
+    let policy = before.map(|config| debug_text(&config.policy));
+    differences.extend(compare_single("policy", policy, debug_text(&after.policy)));
     differences
 }
 
-fn describe(item: &impl Debug) -> String {
+fn debug_text(item: &impl Debug) -> String {
     format!("{item:?}")
 }
 
-fn compare_named(
+fn compare_items(
     section: &'static str,
     before: &BTreeMap<String, String>,
     after: &BTreeMap<String, String>,
@@ -105,14 +106,14 @@
             Some(old) if old != value => Change::Changed,
             Some(_) => continue,
         };
-        differences.push(difference_of(section, name, change));
+        differences.push(new_difference(section, name, change));
     }
     for name in before.keys().filter(|name| !after.contains_key(*name)) {
-        differences.push(difference_of(section, name, Change::Removed));
+        differences.push(new_difference(section, name, Change::Removed));
     }
 }
 
-fn difference_of(section: &'static str, name: &str, change: Change) -> Difference {
+fn new_difference(section: &'static str, name: &str, change: Change) -> Difference {
     let risk = match (section, change) {
         ("tenant", Change::Removed) => Some("its callers are refused at once"),
         ("program", Change::Removed) => Some("new calls of such programs are refused"),
--- a/crates/stageyoke-config/src/lib.rs
+++ b/crates/stageyoke-config/src/lib.rs
@@ -1,10 +1,10 @@
-//! The operators' configuration: one complete TOML file, checked whole.
+//! The operators' configuration: one TOML file that is parsed and validated as a whole.
 //!
 //! [`schema`] lists every key with its unit, default and bounds; [`reader`]
-//! reads a file against such a list and collects every problem with its place;
-//! [`model`] holds the validated types; [`check`] turns one into the other;
-//! [`sections`] splits a file into content-addressed parts for distribution;
-//! [`difference`] says what a new file changes.
+//! reads a file against a schema and collects every problem with its position;
+//! [`model`] holds the validated types; [`check`] validates a file and builds them;
+//! [`sections`] splits a file into content-addressed sections for distribution;
+//! [`difference`] compares two configurations.
 
 pub mod check;
 pub mod difference;
--- a/crates/stageyoke-config/src/model.rs
+++ b/crates/stageyoke-config/src/model.rs
@@ -8,174 +8,174 @@
 use stageyoke_core::gateway::PlacementPolicy;
 use stageyoke_core::program::Limits;
 
-/// Limits towards callers.
+/// Limits on callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Longest request body, bytes.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: u64,
-    /// Longest request header, bytes.
+    /// Maximum size of the request headers in bytes.
     pub header_bytes: u64,
-    /// Longest message, bytes.
+    /// Maximum size of a single message of a call in bytes.
     pub message_bytes: u64,
-    /// Longest time to send a request, s.
+    /// Timeout for receiving a whole request, in seconds.
     pub request_seconds: u64,
-    /// Longest time to leave a stream unread, s.
+    /// Time after which a stream that the caller does not read is closed, in seconds.
     pub stall_seconds: u64,
 }
 
-/// Order of service and placement.
+/// Scheduling of calls: the order of a queue and the choice of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
-    /// Order of service.
+    /// Order in which queued calls get an engine's slots.
     pub queue: QueueOrder,
-    /// Choice of an engine.
+    /// How the engine of a call is chosen.
     pub placement: PlacementPolicy,
-    /// Waiting time worth one class, s.
+    /// Queueing time after which a call counts as one class more urgent, in seconds.
     pub ageing_seconds: u64,
-    /// Calls that may wait for one engine.
+    /// Maximum number of calls queued for one engine.
     pub queue_limit: u64,
 }
 
-/// Who may call.
+/// A caller account with its keys and limits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tenant {
-    /// Name.
+    /// Unique name.
     pub name: String,
-    /// Hashes of its keys.
+    /// Hashes of its keys, as [`hash_key`] returns them.
     pub key_hashes: Vec<String>,
-    /// Program kinds it may use; empty for all.
+    /// Names of the program kinds it may use; empty for all.
     pub programs: Vec<String>,
-    /// Requests it may have under way at one node.
+    /// Maximum number of its requests in flight at one node.
     pub streams: u64,
-    /// Weight among tenants.
+    /// Share relative to other tenants of the same class.
     pub weight: u64,
 }
 
-/// A model.
+/// A language model that engines serve.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Model {
-    /// Name.
+    /// Unique name.
     pub name: String,
-    /// Longest prompt and answer, tokens.
+    /// Context window: maximum length of prompt and answer together, in tokens.
     pub context_tokens: u64,
 }
 
-/// A model engine.
+/// A replica of a model engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Engine {
-    /// Name.
+    /// Unique name.
     pub name: String,
-    /// Model it serves.
+    /// Name of the model it serves.
     pub model: String,
-    /// Address.
+    /// Address of its HTTP interface.
     pub address: SocketAddr,
-    /// Zone.
+    /// Availability zone it runs in.
     pub zone: String,
-    /// Calls it is given at once.
+    /// Maximum number of calls it runs at the same time.
     pub slots: u64,
-    /// Size of its cache in tokens, if known.
+    /// Size of its prefix cache in tokens; 0 if unknown.
     pub cache_tokens: u64,
-    /// It gets no new work.
+    /// True if the engine is being drained and gets no new calls.
     pub leaving: bool,
 }
 
 /// A kind of agent program.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProgramKind {
-    /// Name.
+    /// Unique name.
     pub name: String,
-    /// Name of its class.
+    /// Name of its priority class.
     pub class: String,
-    /// Urgency of its class, 0 the most urgent.
+    /// Priority of its class; 0 is the most urgent.
     pub priority: u8,
-    /// Model.
+    /// Name of the model that serves its calls.
     pub model: String,
-    /// May unkeyed calls run again?
+    /// True if a call without an idempotency key may be retried after it may have run.
     pub repeatable: bool,
-    /// Tool services.
+    /// Names of the tool services that its programs call.
     pub tools: Vec<String>,
-    /// Budgets and times.
+    /// Budgets, timeouts and limits on sub-agents.
     pub limits: Limits,
-    /// Time within which a call is answered, s.
+    /// Deadline of a call in seconds.
     pub deadline_seconds: u64,
-    /// Default of most tokens generated.
+    /// Limit on generated tokens for calls that set none.
     pub max_tokens: u32,
 }
 
-/// A tool service.
+/// A tool service that programs call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tool {
-    /// Name.
+    /// Unique name.
     pub name: String,
-    /// Address.
+    /// Address of the service.
     pub address: SocketAddr,
-    /// Time after which a call counts as hung, s.
+    /// Time after which a tool call counts as hung, in seconds.
     pub deadline_seconds: u64,
 }
 
-/// Application replicas.
+/// A pool of application replicas.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pool {
-    /// Name.
+    /// Unique name.
     pub name: String,
-    /// Addresses.
+    /// Address of each replica.
     pub addresses: Vec<SocketAddr>,
 }
 
-/// A path passed through to application replicas.
+/// A path prefix whose requests are proxied to application replicas.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Path prefix.
+    /// Path prefix, starting with a slash.
     pub prefix: String,
-    /// Pool.
+    /// Name of the pool that serves the requests.
     pub pool: String,
-    /// Pool that served it before.
+    /// Name of the pool that served the requests before the cut-over.
     pub legacy_pool: Option<String>,
-    /// Share of the legacy pool, of 100; 0 once signed off.
+    /// Percentage of requests sent to the legacy pool; 0 once signed off.
     pub legacy_percent: u64,
-    /// The cut-over is signed off.
+    /// True once the cut-over is signed off and the legacy pool gets no requests.
     pub signed_off: bool,
-    /// Time within which a replica must begin to answer, s.
+    /// Time within which a replica must start to answer, in seconds.
     pub deadline_seconds: u64,
 }
 
-/// A whole configuration.
+/// The validated contents of a configuration file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Configuration {
     /// Name of the deployment.
     pub name: String,
-    /// Limits towards callers.
+    /// Limits on callers' requests.
     pub limits: CallerLimits,
-    /// Policies.
+    /// Queueing and placement of calls.
     pub policy: Policy,
-    /// Classes: urgency by name.
+    /// Priority of each class by its name; 0 is the most urgent.
     pub classes: BTreeMap<String, u8>,
-    /// Tenants.
+    /// Callers' accounts.
     pub tenants: Vec<Tenant>,
-    /// Models.
+    /// Models that engines serve.
     pub models: Vec<Model>,
-    /// Engines.
+    /// Replicas of model engines.
     pub engines: Vec<Engine>,
-    /// Program kinds.
+    /// Kinds of agent programs.
     pub programs: Vec<ProgramKind>,
-    /// Tool services.
+    /// Tool services that programs call.
     pub tools: Vec<Tool>,
-    /// Pools.
+    /// Pools of application replicas.
     pub pools: Vec<Pool>,
     /// Routes, longest prefix first.
     pub routes: Vec<Route>,
 }
 
-/// Prefix of a key hash.
+/// Prefix of a key hash; it names the hash function, BLAKE3.
 pub const KEY_HASH_PREFIX: &str = "b3:";
 
-/// The hash under which a tenant's key stands in the configuration.
+/// Returns the hash by which the configuration refers to a tenant's key.
 pub fn hash_key(key: &str) -> String {
     format!("{KEY_HASH_PREFIX}{}", blake3::hash(key.as_bytes()).to_hex())
 }
 
 impl Configuration {
-    /// The tenant that holds a key.
+    /// Returns the tenant that owns a key, given in clear text.
     pub fn tenant_by_key(&self, key: &str) -> Option<&Tenant> {
         let hash = hash_key(key);
         self.tenants
@@ -183,23 +183,23 @@
             .find(|tenant| tenant.key_hashes.contains(&hash))
     }
 
-    /// A program kind that a tenant may use.
+    /// Returns the program kind of this name if the tenant may use it.
     pub fn program_for(&self, tenant: &Tenant, name: &str) -> Option<&ProgramKind> {
         let allowed =
-            tenant.programs.is_empty() || tenant.programs.iter().any(|known| known == name);
+            tenant.programs.is_empty() || tenant.programs.iter().any(|permitted| permitted == name);
         let mut kinds = self.programs.iter().filter(|_| allowed);
         kinds.find(|kind| kind.name == name)
     }
 
-    /// The route of a path.
+    /// Returns the route with the longest prefix of whole segments of the path.
     pub fn route_for_path(&self, path: &str) -> Option<&Route> {
         self.routes.iter().find(|route| {
-            let rest = path.strip_prefix(route.prefix.trim_end_matches('/'));
-            rest.is_some_and(|rest| rest.is_empty() || rest.starts_with(['/', '?']))
+            let suffix = path.strip_prefix(route.prefix.trim_end_matches('/'));
+            suffix.is_some_and(|suffix| suffix.is_empty() || suffix.starts_with(['/', '?']))
         })
     }
 
-    /// A pool by name.
+    /// Returns the pool of this name.
     pub fn pool(&self, name: &str) -> Option<&Pool> {
         self.pools.iter().find(|pool| pool.name == name)
     }
--- a/crates/stageyoke-config/src/problem.rs
+++ b/crates/stageyoke-config/src/problem.rs
@@ -1,33 +1,33 @@
-//! Problems found in a file, each with its place, cause and remedy.
+//! Problems found in a file, each with its position, cause and remedy.
 
 use std::fmt;
 use std::ops::Range;
 
 use miette::{Diagnostic, LabeledSpan, NamedSource, SourceCode};
 
-/// How bad a problem is.
+/// Decides whether a file with the problem is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Severity {
-    /// The file can be used, but probably does not say what was meant.
+    /// The file is accepted, but probably does not say what was meant.
     Warning,
-    /// The file cannot be used.
+    /// The file is rejected.
     Error,
 }
 
-/// One problem.
+/// One error or warning about a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// How bad it is.
+    /// Error or warning.
     pub severity: Severity,
-    /// Bytes of the file that it is about.
+    /// Byte range in the file that the problem refers to.
     pub span: Range<usize>,
-    /// What is wrong, and why.
+    /// Cause of the problem.
     pub what: String,
-    /// What to do about it.
+    /// Advice on how to correct the file.
     pub remedy: String,
 }
 
-/// All problems of one file, shown as one report.
+/// All problems of one file, printed as one report.
 pub struct Problems {
     name: String,
     source: Box<NamedSource<String>>,
@@ -35,7 +35,7 @@
 }
 
 impl Problems {
-    /// Problems of a file given by its name and text.
+    /// Creates a report on the file of this name and text; sorts the problems by position.
     pub fn new(name: &str, text: &str, mut problems: Vec<Problem>) -> Self {
         problems.sort_by_key(|problem| (problem.span.start, problem.span.end));
         Self {
@@ -45,18 +45,18 @@
         }
     }
 
-    /// The problems, in order of their place.
+    /// Returns the problems in the order of their positions.
     pub fn list(&self) -> &[Problem] {
         &self.problems
     }
 
-    /// True if the file cannot be used.
+    /// Returns true if any problem is an error.
     pub fn has_errors(&self) -> bool {
         let mut problems = self.problems.iter();
         problems.any(|problem| problem.severity == Severity::Error)
     }
 
-    /// Line of a problem, from 1.
+    /// Returns the line at which a problem starts, counted from 1.
     pub fn line_number(&self, problem: &Problem) -> usize {
         let text = self.source.inner();
         let before = &text.as_bytes()[..problem.span.start.min(text.len())];
--- a/crates/stageyoke-config/src/reader.rs
+++ b/crates/stageyoke-config/src/reader.rs
@@ -1,4 +1,5 @@
-//! Reads a TOML file against a [`Schema`] and collects every problem at once.
+//! Reads a TOML file against a [`Schema`] and collects all problems instead of stopping at
+//! the first.
 
 use std::ops::Range;
 
@@ -8,15 +9,15 @@
 use crate::problem::{Problem, Severity};
 use crate::schema::{DefaultValue, Field, Kind, Schema};
 
-/// Most edits between an unknown key and one that is suggested instead.
-const SUGGESTION_DISTANCE: usize = 3;
+/// Maximum edit distance between an unknown key and the key suggested for it.
+const MAX_SUGGESTION_DISTANCE: usize = 3;
 
-/// A value and its place in the file.
+/// A value and its position in the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Located<T> {
-    /// Value.
+    /// The value as read, or a default.
     pub value: T,
-    /// Place.
+    /// Byte range in the file; that of the table if the key is absent.
     pub span: Range<usize>,
 }
 
@@ -32,30 +33,31 @@
 pub struct Table<'d, 'a> {
     section: &'static str,
     table: &'d DeTable<'a>,
-    /// Place of the table.
+    /// Byte range of the table in the file.
     pub span: Range<usize>,
 }
 
 impl<'a> Document<'a> {
-    /// Parses a file. A syntax error is a problem like any other, but hides
-    /// whatever comes with it.
+    /// Parses a file and checks the names of its sections. A syntax error is returned alone,
+    /// since nothing else can be checked.
     pub fn parse(text: &'a str, schema: Schema) -> Result<Self, Problem> {
         let root = DeTable::parse(text).map_err(|error| Problem {
             severity: Severity::Error,
             span: error.span().unwrap_or(0..text.len().min(1)),
             what: format!("not valid TOML: {}", error.message()),
-            remedy: "correct the syntax; later problems show once it parses".to_owned(),
+            remedy: "correct the syntax; other problems are reported once the file parses"
+                .to_owned(),
         })?;
         let mut document = Self {
             schema,
             root,
             problems: Vec::new(),
         };
-        document.check_sections();
+        document.check_root_keys();
         Ok(document)
     }
 
-    /// Adds an error.
+    /// Records an error at a byte range of the file.
     pub fn error(&mut self, span: Range<usize>, what: String, remedy: impl Into<String>) {
         self.problems.push(Problem {
             severity: Severity::Error,
@@ -65,7 +67,7 @@
         });
     }
 
-    /// Adds a warning.
+    /// Records a warning at a byte range of the file.
     pub fn warning(&mut self, span: Range<usize>, what: String, remedy: impl Into<String>) {
         self.problems.push(Problem {
             severity: Severity::Warning,
@@ -75,7 +77,7 @@
         });
     }
 
-    fn check_sections(&mut self) {
+    fn check_root_keys(&mut self) {
         let schema = self.schema;
         let mut known = schema.keys("");
         known.extend(schema.sections.iter().map(|section| section.name));
@@ -87,16 +89,20 @@
             .collect();
         for (key, span) in entries {
             if !known.contains(&key.as_str()) {
-                self.unknown_key(&key, span, &known);
+                self.report_unknown_key(&key, span, &known);
             }
         }
     }
 
-    fn unknown_key(&mut self, key: &str, span: Range<usize>, known: &[&str]) {
-        self.error(span, format!("unknown key `{key}`"), remedy_for(key, known));
+    fn report_unknown_key(&mut self, key: &str, span: Range<usize>, known: &[&str]) {
+        self.error(
+            span,
+            format!("unknown key `{key}`"),
+            remedy_for_unknown_key(key, known),
+        );
     }
 
-    /// Calls `read` with the top of the file.
+    /// Calls `read` with a reader of the keys before the first section.
     pub fn read_root<T>(&mut self, read: impl FnOnce(&mut Reader<'_>) -> T) -> T {
         let root = std::mem::replace(&mut self.root, Spanned::new(0..0, DeTable::new()));
         let table = Table {
@@ -114,14 +120,14 @@
         value
     }
 
-    /// Reads every table of a section.
+    /// Calls `read` with a reader of each table of a section and returns the results.
     pub fn read_each<T>(
         &mut self,
         section: &'static str,
         mut read: impl FnMut(&mut Reader<'_>) -> T,
     ) -> Vec<T> {
         let root = std::mem::replace(&mut self.root, Spanned::new(0..0, DeTable::new()));
-        let tables = self.tables(root.get_ref(), section);
+        let tables = self.find_tables(root.get_ref(), section);
         let mut values = Vec::new();
         for table in &tables {
             let mut reader = Reader {
@@ -136,7 +142,11 @@
         values
     }
 
-    fn tables<'d>(&mut self, root: &'d DeTable<'a>, section: &'static str) -> Vec<Table<'d, 'a>> {
+    fn find_tables<'d>(
+        &mut self,
+        root: &'d DeTable<'a>,
+        section: &'static str,
+    ) -> Vec<Table<'d, 'a>> {
         let repeated = self
             .schema
             .sections
@@ -167,7 +177,7 @@
                         }),
                         _ => self.error(
                             item.span(),
-                            format!("`{section}` holds something that is not a table"),
+                            format!("`{section}` contains a value that is not a table"),
                             format!("write each as {form}"),
                         ),
                     }
@@ -194,12 +204,12 @@
 }
 
 impl Reader<'_> {
-    /// Place of the table.
+    /// Returns the byte range of the table in the file.
     pub fn span(&self) -> Range<usize> {
         self.table.span.clone()
     }
 
-    /// Adds an error.
+    /// Records an error at a byte range of the file.
     pub fn error(&mut self, span: Range<usize>, what: String, remedy: impl Into<String>) {
         self.problems.push(Problem {
             severity: Severity::Error,
@@ -219,44 +229,44 @@
             .map(|key| (key.get_ref().to_string(), key.span()))
             .collect();
         for (key, span) in unknown {
-            let remedy = remedy_for(&key, &known);
-            let place = self.place();
-            self.error(span, format!("unknown key `{key}` in {place}"), remedy);
+            let remedy = remedy_for_unknown_key(&key, &known);
+            let section = self.describe_section();
+            self.error(span, format!("unknown key `{key}` in {section}"), remedy);
         }
     }
 
-    fn place(&self) -> String {
+    fn describe_section(&self) -> String {
         match self.table.section {
             "" => "the file".to_owned(),
             section => format!("[{section}]"),
         }
     }
 
-    /// A text, or a word.
+    /// Reads a string and checks it against the key's choices, if it has any.
     pub fn text(&mut self, key: &'static str) -> Located<String> {
-        let Some((field, value, span)) = self.find(key) else {
+        let Some((field, value, span)) = self.find_value(key) else {
             return self.default_text(key);
         };
         let DeValue::String(text) = value else {
-            self.wrong_type(field, span.clone());
-            return located(String::new(), span);
+            self.report_wrong_type(field, span.clone());
+            return new_located(String::new(), span);
         };
         let text = text.to_string();
-        if let Kind::Choice(words) = field.kind
-            && !words.contains(&text.as_str())
+        if let Kind::Choice(choices) = field.kind
+            && !choices.contains(&text.as_str())
         {
-            let remedy = format!("use one of: {}", words.join(", "));
+            let remedy = format!("use one of: {}", choices.join(", "));
             self.error(span.clone(), format!("`{key}` is `{text}`"), remedy);
         }
         if text.is_empty() && field.default == DefaultValue::Required {
             self.error(span.clone(), format!("`{key}` is empty"), field.meaning);
         }
-        located(text, span)
+        new_located(text, span)
     }
 
-    /// A whole number.
+    /// Reads an integer and checks its bounds; returns the lower bound for an invalid value.
     pub fn number(&mut self, key: &'static str) -> Located<u64> {
-        let Some((field, value, span)) = self.find(key) else {
+        let Some((field, value, span)) = self.find_value(key) else {
             return self.default_number(key);
         };
         let (min, max) = match field.kind {
@@ -268,61 +278,61 @@
                 i128::from_str_radix(integer.as_str(), integer.radix()).ok()
             }
             _ => {
-                self.wrong_type(field, span.clone());
-                return located(min, span);
+                self.report_wrong_type(field, span.clone());
+                return new_located(min, span);
             }
         };
         let in_bounds = number.and_then(|number| u64::try_from(number).ok());
         let in_bounds = in_bounds.filter(|number| (min..=max).contains(number));
         match in_bounds {
-            Some(number) => located(number, span),
+            Some(number) => new_located(number, span),
             None => {
                 let remedy = format!("give {}", field.describe_kind());
                 self.error(span.clone(), format!("`{key}` is out of bounds"), remedy);
-                located(min, span)
+                new_located(min, span)
             }
         }
     }
 
-    /// A flag.
+    /// Reads a boolean; returns false for an invalid value.
     pub fn flag(&mut self, key: &'static str) -> bool {
-        let Some((field, value, span)) = self.find(key) else {
+        let Some((field, value, span)) = self.find_value(key) else {
             let field = self.schema.field(self.table.section, key);
             return field.is_some_and(|field| field.default == DefaultValue::Flag(true));
         };
         match value {
             DeValue::Boolean(flag) => *flag,
             _ => {
-                self.wrong_type(field, span);
+                self.report_wrong_type(field, span);
                 false
             }
         }
     }
 
-    /// A list of texts.
+    /// Reads a list of strings and leaves out items of another type.
     pub fn text_list(&mut self, key: &'static str) -> Vec<Located<String>> {
-        let Some((field, value, span)) = self.find(key) else {
-            return self.default_texts(key);
+        let Some((field, value, span)) = self.find_value(key) else {
+            return self.default_text_list(key);
         };
         let DeValue::Array(items) = value else {
-            self.wrong_type(field, span);
+            self.report_wrong_type(field, span);
             return Vec::new();
         };
         let mut texts = Vec::new();
-        let mut wrong = Vec::new();
+        let mut invalid = Vec::new();
         for item in items.iter() {
             match item.get_ref() {
-                DeValue::String(text) => texts.push(located(text.to_string(), item.span())),
-                _ => wrong.push(item.span()),
+                DeValue::String(text) => texts.push(new_located(text.to_string(), item.span())),
+                _ => invalid.push(item.span()),
             }
         }
-        for span in wrong {
-            self.wrong_type(field, span);
+        for span in invalid {
+            self.report_wrong_type(field, span);
         }
         texts
     }
 
-    fn find(&self, key: &str) -> Option<(&'static Field, &DeValue<'_>, Range<usize>)> {
+    fn find_value(&self, key: &str) -> Option<(&'static Field, &DeValue<'_>, Range<usize>)> {
         let field = self.schema.field(self.table.section, key)?;
         let value = self.table.table.get(key)?;
         Some((field, value.get_ref(), value.span()))
@@ -330,73 +340,73 @@
 
     fn default_text(&mut self, key: &'static str) -> Located<String> {
         let span = self.span();
-        match self.absent(key) {
-            Some(DefaultValue::Text(text)) => located(text.to_owned(), span),
-            _ => located(String::new(), span),
+        match self.default_of(key) {
+            Some(DefaultValue::Text(text)) => new_located(text.to_owned(), span),
+            _ => new_located(String::new(), span),
         }
     }
 
     fn default_number(&mut self, key: &'static str) -> Located<u64> {
         let span = self.span();
-        match self.absent(key) {
-            Some(DefaultValue::Number(number)) => located(number, span),
-            _ => located(0, span),
+        match self.default_of(key) {
+            Some(DefaultValue::Number(number)) => new_located(number, span),
+            _ => new_located(0, span),
         }
     }
 
-    fn default_texts(&mut self, key: &'static str) -> Vec<Located<String>> {
-        self.absent(key);
+    fn default_text_list(&mut self, key: &'static str) -> Vec<Located<String>> {
+        self.default_of(key);
         Vec::new()
     }
 
-    /// The default of an absent key; a problem if it is required.
-    fn absent(&mut self, key: &'static str) -> Option<DefaultValue> {
+    /// Returns the default of an absent key; records an error if the key is required.
+    fn default_of(&mut self, key: &'static str) -> Option<DefaultValue> {
         let field = self.schema.field(self.table.section, key)?;
         if field.default == DefaultValue::Required {
-            let what = format!("`{key}` is missing in {}", self.place());
+            let what = format!("`{key}` is missing in {}", self.describe_section());
             let remedy = format!("add `{key}`: {}", field.meaning);
             self.error(self.span(), what, remedy);
         }
         Some(field.default)
     }
 
-    fn wrong_type(&mut self, field: &Field, span: Range<usize>) {
+    fn report_wrong_type(&mut self, field: &Field, span: Range<usize>) {
         let what = format!("`{}` has the wrong type", field.key);
         self.error(span, what, format!("give {}", field.describe_kind()));
     }
 }
 
-fn located<T>(value: T, span: Range<usize>) -> Located<T> {
+fn new_located<T>(value: T, span: Range<usize>) -> Located<T> {
     Located { value, span }
 }
 
-/// What to do about a key that is not known.
-fn remedy_for(key: &str, known: &[&str]) -> String {
-    match nearest(key, known) {
+/// Suggests the nearest known key, or lists the known keys if none is near.
+fn remedy_for_unknown_key(key: &str, known: &[&str]) -> String {
+    match nearest_key(key, known) {
         Some(nearest) => format!("did you mean `{nearest}`?"),
-        None => format!("remove it; known here are: {}", known.join(", ")),
+        None => format!("remove it; known keys: {}", known.join(", ")),
     }
 }
 
-/// The known key that is nearest to an unknown one, if any is near.
-fn nearest<'k>(key: &str, known: &[&'k str]) -> Option<&'k str> {
+/// Finds the known key with the least edit distance, up to [`MAX_SUGGESTION_DISTANCE`].
+fn nearest_key<'k>(key: &str, known: &[&'k str]) -> Option<&'k str> {
     known
         .iter()
         .map(|candidate| (edit_distance(key, candidate), *candidate))
-        .filter(|(distance, _)| *distance <= SUGGESTION_DISTANCE)
+        .filter(|(distance, _)| *distance <= MAX_SUGGESTION_DISTANCE)
         .min()
         .map(|(_, candidate)| candidate)
 }
 
-/// Levenshtein's distance between two words.
+/// Computes the Levenshtein distance of two words.
 fn edit_distance(left: &str, right: &str) -> usize {
     let right: Vec<char> = right.chars().collect();
     let mut row: Vec<usize> = (0..=right.len()).collect();
-    for (line, letter) in left.chars().enumerate() {
+    for (row_index, left_letter) in left.chars().enumerate() {
         let mut diagonal = row[0];
-        row[0] = line + 1;
-        for (column, other) in right.iter().enumerate() {
-            let substituted = diagonal + usize::from(letter != *other);
+        row[0] = row_index + 1;
+        for (column, right_letter) in right.iter().enumerate() {
+            let substituted = diagonal + usize::from(left_letter != *right_letter);
             diagonal = row[column + 1];
             row[column + 1] = substituted.min(row[column] + 1).min(diagonal + 1);
         }
--- a/crates/stageyoke-config/src/schema.rs
+++ b/crates/stageyoke-config/src/schema.rs
@@ -1,106 +1,106 @@
-//! Every key of the configuration file: unit, default, bounds and meaning.
+//! Schema of the configuration file: unit, default, bounds and meaning of every key.
 //!
-//! The reader takes defaults and bounds from here, and `docs/CONFIG.md` shows
-//! the same table; a test holds the two equal.
+//! The reader takes defaults and bounds from here. `docs/CONFIG.md` contains the same
+//! tables; a test compares the two.
 
-/// What a key holds.
+/// Type of a key's value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Text.
+    /// A string.
     Text,
-    /// A list of texts.
+    /// A list of strings.
     TextList,
-    /// A whole number within bounds.
+    /// An integer within inclusive bounds.
     Number {
-        /// Least value.
+        /// Smallest valid value.
         min: u64,
-        /// Most value.
+        /// Largest valid value.
         max: u64,
     },
-    /// A share of 100.
+    /// An integer from 0 to 100.
     Percent,
-    /// True or false.
+    /// A boolean.
     Flag,
-    /// One of a few words.
+    /// One of these strings.
     Choice(&'static [&'static str]),
 }
 
-/// What happens if a key is absent.
+/// Value of a key that the file leaves out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DefaultValue {
-    /// It must be given.
+    /// No default: leaving out the key is an error.
     Required,
-    /// This text, or the word.
+    /// Default of a string or a choice.
     Text(&'static str),
-    /// This number.
+    /// Default of an integer or a percentage.
     Number(u64),
-    /// This flag.
+    /// Default of a boolean.
     Flag(bool),
-    /// No items.
+    /// An empty list.
     Empty,
 }
 
-/// One key.
+/// Description of one key.
 #[derive(Clone, Copy, Debug)]
 pub struct Field {
-    /// Section, such as `tenant` for `[[tenant]]`; empty for the top.
+    /// Section, such as `tenant` for `[[tenant]]`; empty for keys before the first section.
     pub section: &'static str,
-    /// Key.
+    /// Name of the key in the file.
     pub key: &'static str,
-    /// What it holds.
+    /// Type of its value.
     pub kind: Kind,
-    /// Unit, if it has one.
+    /// Unit of a number; empty if it has none.
     pub unit: &'static str,
-    /// What happens if it is absent.
+    /// Value used if the file leaves out the key.
     pub default: DefaultValue,
-    /// One sentence.
+    /// Description of the key in one sentence, as the reference page shows it.
     pub meaning: &'static str,
 }
 
-/// One section.
+/// Description of one section.
 #[derive(Clone, Copy, Debug)]
 pub struct Section {
-    /// Name.
+    /// Name of the section in the file.
     pub name: &'static str,
-    /// Whether it may stand any number of times (`[[name]]`) or once (`[name]`).
+    /// True if it may appear any number of times (`[[name]]`), false if once (`[name]`).
     pub repeated: bool,
-    /// One sentence.
+    /// Description of the section in one sentence, as the reference page shows it.
     pub meaning: &'static str,
 }
 
-/// A file's whole schema.
+/// Schema of a whole file.
 #[derive(Clone, Copy, Debug)]
 pub struct Schema {
-    /// Sections.
+    /// Sections in the order of the reference page.
     pub sections: &'static [Section],
-    /// Keys.
+    /// Keys of all sections, in the order of the reference page.
     pub fields: &'static [Field],
 }
 
 impl Schema {
-    /// The key of a section, if there is one.
+    /// Returns the description of a section's key, if the schema has it.
     pub fn field(&self, section: &str, key: &str) -> Option<&'static Field> {
         let mut fields = self.fields.iter();
         fields.find(|field| field.section == section && field.key == key)
     }
 
-    /// Names of a section's keys.
+    /// Returns the names of a section's keys.
     pub fn keys(&self, section: &str) -> Vec<&'static str> {
         let fields = self.fields.iter();
-        let own = fields.filter(|field| field.section == section);
-        own.map(|field| field.key).collect()
+        let of_section = fields.filter(|field| field.section == section);
+        of_section.map(|field| field.key).collect()
     }
 }
 
 impl Schema {
-    /// The whole schema as Markdown tables, for its page.
+    /// Renders the schema as the Markdown tables of its reference page.
     pub fn markdown(&self) -> String {
-        let top = Section {
+        let root = Section {
             name: "",
             repeated: false,
             meaning: "Top of the file.",
         };
-        let sections = std::iter::once(&top).chain(self.sections);
+        let sections = std::iter::once(&root).chain(self.sections);
         sections
             .map(|section| self.section_markdown(section))
             .collect()
@@ -135,7 +135,7 @@
 }
 
 impl Field {
-    /// What the key holds, in words.
+    /// Describes the valid values of the key for error messages and the reference page.
     pub fn describe_kind(&self) -> String {
         let unit = if self.unit.is_empty() {
             String::new()
@@ -148,7 +148,7 @@
             Kind::Number { min, max } => format!("a whole number from {min} to {max}{unit}"),
             Kind::Percent => "a whole number from 0 to 100".to_owned(),
             Kind::Flag => "true or false".to_owned(),
-            Kind::Choice(words) => format!("one of: {}", words.join(", ")),
+            Kind::Choice(choices) => format!("one of: {}", choices.join(", ")),
         }
     }
 
@@ -163,7 +163,7 @@
     }
 }
 
-/// A key that must be given.
+/// Describes a key that the file must contain.
 pub const fn required(
     section: &'static str,
     key: &'static str,
@@ -180,7 +180,7 @@
     }
 }
 
-/// A number with a default.
+/// Describes an integer with a default.
 pub const fn number(
     section: &'static str,
     key: &'static str,
@@ -202,7 +202,7 @@
     }
 }
 
-/// A key of any kind with a default.
+/// Describes a key of any type with a default.
 pub const fn optional(
     section: &'static str,
     key: &'static str,
@@ -228,21 +228,22 @@
     }
 }
 
-/// Version of the schema that this program reads.
+/// Schema version that this release accepts.
 pub const SCHEMA_VERSION: u64 = 1;
-/// Words for the order of service.
+/// Names of the queue orders in the file.
 pub const QUEUE_ORDERS: &[&str] = &["first_come", "class_priority", "least_attained"];
-/// Words for the choice of an engine.
-pub const PLACEMENTS: &[&str] = &[
+/// Names of the placement policies in the file.
+pub const PLACEMENT_POLICIES: &[&str] = &[
     "least_loaded",
     "strict_affinity",
     "bounded_spill",
     "cost_based",
 ];
-const MANY: u64 = 1_000_000_000_000;
-const DAY_SECONDS: u64 = 86_400;
+/// Upper bound of numbers that need no tighter one.
+const MAX_NUMBER: u64 = 1_000_000_000_000;
+const SECONDS_PER_DAY: u64 = 86_400;
 
-/// The configuration file.
+/// Schema of the configuration file.
 pub const CONFIGURATION: Schema = Schema {
     sections: &[
         section("limits", false, "Limits towards callers."),
@@ -320,14 +321,14 @@
         optional(
             "policy",
             "placement",
-            Kind::Choice(PLACEMENTS),
+            Kind::Choice(PLACEMENT_POLICIES),
             DefaultValue::Text("cost_based"),
             "How an engine is chosen for a call.",
         ),
         number(
             "policy",
             "ageing_seconds",
-            (1, DAY_SECONDS),
+            (1, SECONDS_PER_DAY),
             "s",
             20,
             "Waiting time after which a call counts as one class more urgent.",
@@ -406,7 +407,7 @@
         number(
             "engine",
             "cache_tokens",
-            (0, MANY),
+            (0, MAX_NUMBER),
             "tokens",
             0,
             "Size of its cache; 0 if not known.",
@@ -443,7 +444,7 @@
         number(
             "program",
             "calls",
-            (0, MANY),
+            (0, MAX_NUMBER),
             "calls",
             0,
             "Most calls of a program and its sub-agents; 0 for no limit.",
@@ -451,7 +452,7 @@
         number(
             "program",
             "tokens_in",
-            (0, MANY),
+            (0, MAX_NUMBER),
             "tokens",
             0,
             "Most prompt tokens of a program and its sub-agents; 0 for no limit.",
@@ -459,7 +460,7 @@
         number(
             "program",
             "tokens_out",
-            (0, MANY),
+            (0, MAX_NUMBER),
             "tokens",
             0,
             "Most generated tokens of a program and its sub-agents; 0 for no limit.",
@@ -467,7 +468,7 @@
         number(
             "program",
             "wall_seconds",
-            (0, MANY),
+            (0, MAX_NUMBER),
             "s",
             0,
             "Longest life of a program; 0 for no limit.",
@@ -491,7 +492,7 @@
         number(
             "program",
             "idle_seconds",
-            (1, MANY),
+            (1, MAX_NUMBER),
             "s",
             3_600,
             "Time without a call after which a program ends.",
@@ -499,7 +500,7 @@
         number(
             "program",
             "deadline_seconds",
-            (1, DAY_SECONDS),
+            (1, SECONDS_PER_DAY),
             "s",
             120,
             "Time within which a call is answered.",
@@ -507,9 +508,9 @@
         number(
             "program",
             "idempotency_seconds",
-            (1, MANY),
+            (1, MAX_NUMBER),
             "s",
-            DAY_SECONDS,
+            SECONDS_PER_DAY,
             "Time for which an answer is kept for its idempotency key.",
         ),
         number(
@@ -525,7 +526,7 @@
         number(
             "tool",
             "deadline_seconds",
-            (1, DAY_SECONDS),
+            (1, SECONDS_PER_DAY),
             "s",
             30,
             "Time after which a tool call counts as hung.",
@@ -568,7 +569,7 @@
         number(
             "route",
             "deadline_seconds",
-            (1, DAY_SECONDS),
+            (1, SECONDS_PER_DAY),
             "s",
             30,
             "Time within which a replica must begin to answer.",
--- a/crates/stageyoke-config/src/sections.rs
+++ b/crates/stageyoke-config/src/sections.rs
@@ -1,25 +1,25 @@
-//! Splits a file's text into content-addressed parts, so that a change travels
-//! as the few parts that differ. Joined in order they give the very text that
-//! the operator applied.
+//! Splits a configuration file into content-addressed sections, so that only the sections
+//! that changed are sent. Joined in order they equal the applied file byte for byte.
 
 use stageyoke_core::config_spread::{ConfigBundle, ConfigHead, SectionId};
 use stageyoke_core::hash;
 use stageyoke_types::{ConfigVersion, Text};
 
-/// Aimed number of tables in one part.
-const TABLES_PER_SECTION: u64 = 8;
-/// Most bytes of one part.
-const SECTION_BYTES: usize = 16 * 1024;
+/// Average number of tables in one section.
+const AVERAGE_TABLES_PER_SECTION: u64 = 8;
+/// Maximum size of a section that holds more than one table.
+const MAX_SECTION_BYTES: usize = 16 * 1024;
 
-/// Splits a text before some of the lines that open a table. Which ones depends
-/// on the table's own text alone, so an edit leaves the other cuts in place.
+/// Splits a text into sections at table boundaries (content-defined chunking). A table's
+/// hash decides whether a section starts there, so an edit leaves most other boundaries
+/// in place.
 pub fn split(text: &str) -> Vec<String> {
     let mut sections = Vec::new();
     let mut current = String::new();
-    for table in tables(text) {
-        let cuts = hash::of_text(table).is_multiple_of(TABLES_PER_SECTION);
-        let is_full = current.len() + table.len() > SECTION_BYTES;
-        if !current.is_empty() && (cuts || is_full) {
+    for table in split_tables(text) {
+        let is_boundary = hash::of_text(table).is_multiple_of(AVERAGE_TABLES_PER_SECTION);
+        let is_full = current.len() + table.len() > MAX_SECTION_BYTES;
+        if !current.is_empty() && (is_boundary || is_full) {
             sections.push(std::mem::take(&mut current));
         }
         current.push_str(table);
@@ -30,8 +30,8 @@
     sections
 }
 
-/// The text cut before each line that opens a table.
-fn tables(text: &str) -> Vec<&str> {
+/// Splits a text before each line that starts a table.
+fn split_tables(text: &str) -> Vec<&str> {
     let mut starts = vec![0];
     let mut offset = 0;
     for line in text.split_inclusive('\n') {
@@ -45,7 +45,7 @@
     ranges.map(|(start, end)| &text[start..end]).collect()
 }
 
-/// A text as a version ready to be spread.
+/// Builds the bundle in which a version of the configuration is distributed.
 pub fn bundle(text: &str, version: ConfigVersion, apply_id: &str) -> ConfigBundle {
     let sections = split(text);
     ConfigBundle {
@@ -61,7 +61,7 @@
     }
 }
 
-/// The text of a version.
+/// Returns the whole text of a bundle.
 pub fn join(bundle: &ConfigBundle) -> String {
     bundle
         .contents
--- a/crates/stageyoke-config/tests/check_test.rs
+++ b/crates/stageyoke-config/tests/check_test.rs
@@ -1,4 +1,4 @@
-//! Checking of configuration files.
+//! Validation, splitting and comparison of configuration files.
 
 use rstest::rstest;
 use stageyoke_config::check;
@@ -9,10 +9,10 @@
 
 const FLOOD_WARNING: &str = include_str!("../../../examples/flood-warning.toml");
 const SABARMATI: &str = include_str!("../../../examples/sabarmati.toml");
-const CONFIG_PAGE: &str = include_str!("../../../docs/CONFIG.md");
+const CONFIGURATION_PAGE: &str = include_str!("../../../docs/CONFIG.md");
 
-/// Twenty faults, each on a line of its own.
-const TWENTY_FAULTS: &str = r#"schema = 2
+/// A file with errors in most of its sections, each on its own line.
+const INVALID_CONFIGURATION: &str = r#"schema = 2
 name = 7
 colour = "blue"
 [limits]
@@ -64,8 +64,8 @@
 }
 
 #[test]
-fn every_fault_is_reported_at_once_with_its_line() {
-    let problems = check("twenty.toml", TWENTY_FAULTS).expect_err("it has faults");
+fn all_errors_are_reported_together_with_their_lines() {
+    let problems = check("invalid.toml", INVALID_CONFIGURATION).expect_err("the file is invalid");
     let lines: Vec<usize> = problems
         .list()
         .iter()
@@ -89,35 +89,38 @@
 }
 
 #[test]
-fn an_unknown_key_names_the_nearest() {
-    let problems = check("x", TWENTY_FAULTS).expect_err("it has faults");
+fn an_unknown_key_suggests_the_nearest_known_key() {
+    let problems = check("x", INVALID_CONFIGURATION).expect_err("the file is invalid");
     let text = problems.to_string();
     assert!(text.contains("did you mean `placement`?"), "{text}");
 }
 
 #[test]
-fn page_equals_the_schema() {
-    assert!(CONFIG_PAGE.contains(&CONFIGURATION.markdown()));
+fn the_configuration_page_contains_the_schema_tables() {
+    assert!(CONFIGURATION_PAGE.contains(&CONFIGURATION.markdown()));
 }
 
 #[test]
-fn parts_join_to_the_very_text() {
+fn joined_sections_equal_the_original_text() {
     let version = ConfigVersion(3);
-    for text in [FLOOD_WARNING, SABARMATI, TWENTY_FAULTS, ""] {
+    for text in [FLOOD_WARNING, SABARMATI, INVALID_CONFIGURATION, ""] {
         assert_eq!(join(&bundle(text, version, "id")), text);
     }
 }
 
 #[test]
-fn an_edit_changes_few_parts() {
+fn an_edit_changes_at_most_two_sections() {
     let before = split(FLOOD_WARNING);
     let after = split(&FLOOD_WARNING.replace("10.20.1.3:8000", "10.20.1.99:8000"));
-    let changed = after.iter().filter(|part| !before.contains(part)).count();
+    let changed = after
+        .iter()
+        .filter(|section| !before.contains(section))
+        .count();
     assert!(changed <= 2, "{changed} of {} parts changed", after.len());
 }
 
 #[test]
-fn difference_names_what_changed() {
+fn a_changed_route_is_listed_with_its_risk() {
     let before = check("a", FLOOD_WARNING).expect("valid").config;
     let text = FLOOD_WARNING
         .replace("signed_off = false", "signed_off = true")
@@ -132,24 +135,28 @@
     assert!(changes[0].risk.is_some());
 }
 
-/// One key for two tenants, twice in one, and a tenant without any: each is told with
-/// its line.
+/// Errors: two tenants with the same key, a key listed twice, a tenant without keys.
 #[test]
-fn keys_tell_one_tenant_each() {
+fn shared_and_missing_tenant_keys_are_errors() {
     let hash = |digit: &str| format!("\"b3:{}\"", digit.repeat(64));
     let tenant =
         |name: &str, keys: &str| format!("[[tenant]]\nname = \"{name}\"\nkey_hashes = [{keys}]\n");
-    let sound = tenant("x-ann", &hash("a")) + &tenant("x-bob", &hash("b"));
-    let text = format!("{FLOOD_WARNING}\n{sound}");
-    assert!(check("sound", &text).is_ok());
-    let twice = format!("{}, {}", hash("c"), hash("c"));
-    let faults = tenant("x-cat", &hash("a")) + &tenant("x-dan", &twice) + &tenant("x-eve", "");
-    let problems = check("faulty", &format!("{text}{faults}")).expect_err("three faults");
-    let first = text.lines().count();
+    let valid_tenants = tenant("x-ann", &hash("a")) + &tenant("x-bob", &hash("b"));
+    let text = format!("{FLOOD_WARNING}\n{valid_tenants}");
+    assert!(check("valid", &text).is_ok());
+    let repeated_key = format!("{}, {}", hash("c"), hash("c"));
+    let invalid_tenants =
+        tenant("x-cat", &hash("a")) + &tenant("x-dan", &repeated_key) + &tenant("x-eve", "");
+    let problems = check("invalid", &format!("{text}{invalid_tenants}")).expect_err("three errors");
+    let valid_lines = text.lines().count();
     let lines: Vec<usize> = problems
         .list()
         .iter()
         .map(|problem| problems.line_number(problem))
         .collect();
-    assert_eq!(lines, [first + 3, first + 6, first + 8], "{problems}");
+    assert_eq!(
+        lines,
+        [valid_lines + 3, valid_lines + 6, valid_lines + 8],
+        "{problems}"
+    );
 }
