--- a/crates/stageyoke-config/tests/check_test.rs
+++ b/crates/stageyoke-config/tests/check_test.rs
@@ -116,7 +116,11 @@
         .iter()
         .filter(|section| !before.contains(section))
         .count();
-    assert!(changed <= 2, "{changed} of {} parts changed", after.len());
+    assert!(
+        changed <= 2,
+        "{changed} of {} sections changed",
+        after.len()
+    );
 }
 
 #[test]
