--- a/crates/stageyoke-lab/src/hunts/command.rs
+++ b/crates/stageyoke-lab/src/hunts/command.rs
@@ -1,6 +1,6 @@
 //! The command that replays a day.
 
-use super::entry::{JournalEntry, PlayedDay};
+use super::entry::{DayResult, JournalEntry};
 
 /// Kind of a day that can only be replayed by its name.
 const REPLAY_KIND: &str = "replay";
@@ -12,7 +12,7 @@
 const VALUE_OPTIONS: [&str; 2] = ["--until", "--day-cap"];
 
 /// Returns the command that replays a day, with the paths as written in the journal entry.
-pub fn replay_command(entry: &JournalEntry, day: &PlayedDay) -> String {
+pub fn replay_command(entry: &JournalEntry, day: &DayResult) -> String {
     let site = site(entry);
     let options = result_options(&entry.arguments);
     let played = match (entry.verb.as_str(), day.kind.as_str()) {
@@ -25,7 +25,7 @@
 
 /// Arguments of a single run, which names its day by a word or a file and its seed by an
 /// option.
-fn single_run_arguments(entry: &JournalEntry, day: &PlayedDay, site: &str) -> String {
+fn single_run_arguments(entry: &JournalEntry, day: &DayResult, site: &str) -> String {
     let name = entry.arguments.get(1).unwrap_or(&day.name);
     let seed = day.seed.map(|seed| format!(" --seed {seed}"));
     format!("run {site} {name}{}", seed.unwrap_or_default())
--- a/crates/stageyoke-lab/src/hunts/entry.rs
+++ b/crates/stageyoke-lab/src/hunts/entry.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 
 /// Commands whose days are evaluated.
-const JUDGED_VERBS: [&str; 3] = ["hunt", "run", "score"];
+const EVALUATED_COMMANDS: [&str; 3] = ["hunt", "run", "score"];
 
 /// A journal entry, written after each command of the bench.
 #[derive(Clone, Debug, Default, Deserialize)]
@@ -28,12 +28,12 @@
     pub ok: bool,
     /// Days that were run; none if the command did not complete.
     #[serde(default)]
-    days: Option<Vec<PlayedDay>>,
+    days: Option<Vec<DayResult>>,
 }
 
 /// Result of one day.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct PlayedDay {
+pub struct DayResult {
     /// Name; contains the seed where that differs from the default of the day.
     pub name: String,
     /// Seed of the day, if it has its own.
@@ -54,17 +54,17 @@
 
 impl JournalEntry {
     /// Returns whether the days of this entry are evaluated.
-    pub fn is_judged(&self) -> bool {
-        JUDGED_VERBS.contains(&self.verb.as_str())
+    pub fn is_evaluated(&self) -> bool {
+        EVALUATED_COMMANDS.contains(&self.verb.as_str())
     }
 
     /// Returns whether the command completed all its days.
-    pub fn has_ended(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.ok && self.days.is_some()
     }
 
     /// Returns the days that were run.
-    pub fn played_days(&self) -> &[PlayedDay] {
+    pub fn day_results(&self) -> &[DayResult] {
         self.days.as_deref().unwrap_or_default()
     }
 }
@@ -101,5 +101,5 @@
     let named = entries.iter().position(|entry| entry.id == id);
     named
         .map(|index| index + 1)
-        .ok_or_else(|| miette::miette!("no entry is named {id}"))
+        .ok_or_else(|| miette::miette!("no journal entry has the identifier {id}"))
 }
--- a/crates/stageyoke-lab/src/hunts/finding.rs
+++ b/crates/stageyoke-lab/src/hunts/finding.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use super::command::replay_command;
-use super::entry::{JournalEntry, PlayedDay};
+use super::entry::{DayResult, JournalEntry};
 
 /// Served share of the total value below which a day is a finding.
 const MIN_SERVED_SHARE: f64 = 0.5;
@@ -52,7 +52,7 @@
 
 impl Finding {
     /// Returns the finding for a day, if there is one.
-    pub fn from_day(entry: &JournalEntry, day: &PlayedDay) -> Option<Self> {
+    pub fn from_day(entry: &JournalEntry, day: &DayResult) -> Option<Self> {
         let reasons = reasons(day);
         let found = !reasons.is_empty();
         found.then(|| Self {
@@ -65,7 +65,7 @@
     }
 }
 
-fn reasons(day: &PlayedDay) -> Vec<Reason> {
+fn reasons(day: &DayResult) -> Vec<Reason> {
     let broken = day.rules.iter();
     let broken = broken.map(|(rule, times)| Reason::Broken(rule.clone(), *times));
     let mut reasons: Vec<Reason> = broken.collect();
--- a/crates/stageyoke-lab/src/hunts/mod.rs
+++ b/crates/stageyoke-lab/src/hunts/mod.rs
@@ -8,7 +8,7 @@
 use std::fmt;
 use std::path::Path;
 
-pub use entry::{JournalEntry, PlayedDay};
+pub use entry::{DayResult, JournalEntry};
 pub use finding::{Finding, Reason};
 
 /// Findings in the entries of a journal.
@@ -33,13 +33,13 @@
             Some(id) => entry::index_after(&entries, id)?,
             None => 0,
         };
-        Ok(Self::judge(&entries[first..]))
+        Ok(Self::evaluate(&entries[first..]))
     }
 
     /// Evaluates entries; entries of other commands are ignored.
-    pub fn judge(entries: &[JournalEntry]) -> Self {
+    pub fn evaluate(entries: &[JournalEntry]) -> Self {
         let mut report = Self::default();
-        for entry in entries.iter().filter(|entry| entry.is_judged()) {
+        for entry in entries.iter().filter(|entry| entry.is_evaluated()) {
             report.add_entry(entry);
         }
         report
@@ -52,10 +52,10 @@
 
     fn add_entry(&mut self, entry: &JournalEntry) {
         self.entries += 1;
-        if !entry.has_ended() {
+        if !entry.is_complete() {
             self.unfinished.push(entry.id.clone());
         }
-        let days = entry.played_days();
+        let days = entry.day_results();
         self.days += days.len();
         let findings = days.iter().filter_map(|day| Finding::from_day(entry, day));
         self.findings.extend(findings);
@@ -68,11 +68,11 @@
             writeln!(formatter, "{finding}")?;
         }
         for id in &self.unfinished {
-            writeln!(formatter, "{id}: did not end, or failed")?;
+            writeln!(formatter, "{id}: did not end or failed")?;
         }
         writeln!(
             formatter,
-            "{} findings on {} days of {} entries, {} of them without an end",
+            "{} findings on {} days of {} entries, {} of them unfinished",
             self.findings.len(),
             self.days,
             self.entries,
--- a/crates/stageyoke-lab/src/soak/changes.rs
+++ b/crates/stageyoke-lab/src/soak/changes.rs
@@ -71,7 +71,7 @@
         if matches!(status, Ok(Some(200))) && promises.disturbances.bounds_apply() {
             let late = age.as_millis();
             promises.report_breach(format!(
-                "{front} goes by configuration {version}, {late} ms after the next was accepted"
+                "{front} used configuration {version} {late} ms after its successor was accepted"
             ));
         }
     }
--- a/crates/stageyoke-lab/src/soak/deployment.rs
+++ b/crates/stageyoke-lab/src/soak/deployment.rs
@@ -14,7 +14,7 @@
 
 use super::addresses::AddressAllocator;
 use super::changes::ConfigurationVersions;
-use super::processes::{MEMORY_MB, Process, ProcessRole, Shared};
+use super::processes::{MEMORY_MB, Process, ProcessParameters, ProcessRole};
 use super::promises::Promises;
 use super::proxy::Proxy;
 use super::replicas::unix_milliseconds;
@@ -111,9 +111,9 @@
     /// Samples of memory, descriptors and connections of all processes.
     pub monitor: ProcessMonitor,
     /// Time at which callers stop.
-    pub until: Instant,
+    pub ends_at: Instant,
     configuration: fn(u64) -> Value,
-    shared: Shared,
+    parameters: ProcessParameters,
     machines: AddressAllocator,
     store_names_used: usize,
     pub(super) replicas: Vec<Arc<ReplicaStandIn>>,
@@ -170,7 +170,7 @@
         let folder = tempfile::tempdir()?;
         let mut machines = AddressAllocator::with_random_block()?;
         let addresses: Vec<_> = (0..size.processes()).map(|_| machines.allocate()).collect();
-        let mut shared = Shared {
+        let mut parameters = ProcessParameters {
             program: program.to_owned(),
             folder: folder.path().to_owned(),
             platform: service_address,
@@ -194,9 +194,9 @@
                 ),
             };
             let proxy = Proxy::start(service_address).await?;
-            shared.platform = proxy.address;
+            parameters.platform = proxy.address;
             service_proxies.push(proxy);
-            let mut process = Process::new(&shared, node, role, *machine);
+            let mut process = Process::new(&parameters, node, role, *machine);
             if role == ProcessRole::Store {
                 let proxy = Proxy::start(machine[2]).await?;
                 process = process.with_proxy(proxy.address);
@@ -215,7 +215,7 @@
             size,
             service,
             service_proxies,
-            monitor: shared.monitor.clone(),
+            monitor: parameters.monitor.clone(),
             store_proxies,
             replica_proxies,
             trouble,
@@ -226,8 +226,8 @@
             versions,
             configuration,
             catch_up,
-            until: Instant::now(),
-            shared,
+            ends_at: Instant::now(),
+            parameters,
             machines,
             store_names_used: size.stores,
             replicas,
@@ -258,10 +258,10 @@
         self.store_names_used += 1;
         let stores = &self.processes[self.size.fronts..];
         let running = stores.iter().filter(|store| store.is_running());
-        self.shared.seeds = running.map(Process::peer_address).take(SEEDS).collect();
-        self.shared.platform = self.service_proxies[number].address;
+        self.parameters.seeds = running.map(Process::peer_address).take(SEEDS).collect();
+        self.parameters.platform = self.service_proxies[number].address;
         let proxy = Proxy::start(machine[2]).await?;
-        let process = Process::new(&self.shared, node, ProcessRole::Store, machine);
+        let process = Process::new(&self.parameters, node, ProcessRole::Store, machine);
         self.processes[number] = process.with_proxy(proxy.address);
         self.store_proxies[number - self.size.fronts] = proxy;
         self.processes[number].start(false)
@@ -271,7 +271,7 @@
     /// later.
     pub(super) fn set_program(&mut self, number: usize, program: PathBuf) {
         self.processes[number].set_program(program.clone());
-        self.shared.program = program;
+        self.parameters.program = program;
     }
 
     /// Writes the next configuration version to the key-value service.
@@ -325,12 +325,12 @@
         for process in &self.processes {
             match process.peak_memory() {
                 Ok(bytes) if bytes > MEMORY_MB * 1024 * 1024 => {
-                    let breach = format!("{} needed {bytes} bytes of memory", process.node);
+                    let breach = format!("{} used {bytes} bytes of memory", process.node);
                     self.promises.report_breach(breach);
                 }
                 Ok(_) => {}
                 Err(error) => {
-                    let breach = format!("{} has ended: {error}", process.node);
+                    let breach = format!("{} is not running: {error}", process.node);
                     self.promises.report_breach(breach);
                 }
             }
--- a/crates/stageyoke-lab/src/soak/faults.rs
+++ b/crates/stageyoke-lab/src/soak/faults.rs
@@ -181,19 +181,19 @@
             Fault::PauseStore => self.pause(store, duration).await,
             Fault::WipeStore => self.wipe_store(store).await,
             Fault::KillAll => self.kill_all().await,
-            Fault::CutService => self.cut_service(random, duration).await,
-            Fault::TroubleService => self.trouble_service(random, duration).await,
-            Fault::CutReplicas => self.cut_replicas(random, duration).await,
-            Fault::TroubleReplicas => self.trouble_replicas(random, duration).await,
+            Fault::CutService => self.disrupt_service_connections(random, duration).await,
+            Fault::TroubleService => self.disrupt_service(random, duration).await,
+            Fault::CutReplicas => self.disrupt_replica_connections(random, duration).await,
+            Fault::TroubleReplicas => self.disrupt_replicas(random, duration).await,
             Fault::Reconfigure => self.reconfigure(),
             Fault::CutStore => {
-                self.cut_store(store - self.size.fronts, random, duration)
+                self.disrupt_store_connections(store - self.size.fronts, random, duration)
                     .await
             }
             Fault::FillDisk => self.fill_disk(store, duration).await,
             Fault::SilenceService => self.silence_service(random).await,
             Fault::ReplaceReplicas => self.replace_replicas(random).await,
-            Fault::TroubleServiceForSome => self.trouble_service_for_some(random).await,
+            Fault::TroubleServiceForSome => self.disrupt_service_for_some(random).await,
             Fault::SilenceBetweenStores => {
                 self.silence_between_stores(store - self.size.fronts, random, duration)
                     .await
@@ -268,7 +268,12 @@
         }
     }
 
-    async fn cut_store(&mut self, store: usize, random: &mut ChaCha8Rng, duration: Duration) {
+    async fn disrupt_store_connections(
+        &mut self,
+        store: usize,
+        random: &mut ChaCha8Rng,
+        duration: Duration,
+    ) {
         let behavior = self.store_proxies[store].behavior.clone();
         behavior.set(draw_mode(random), random_milliseconds(random, 0, 80));
         tokio::time::sleep(duration).await;
@@ -284,7 +289,7 @@
         }
     }
 
-    async fn cut_service(&mut self, random: &mut ChaCha8Rng, duration: Duration) {
+    async fn disrupt_service_connections(&mut self, random: &mut ChaCha8Rng, duration: Duration) {
         let mode = draw_mode(random);
         let delay = random_milliseconds(random, 0, 100);
         for proxy in &self.service_proxies {
@@ -296,7 +301,7 @@
         }
     }
 
-    async fn trouble_service(&mut self, random: &mut ChaCha8Rng, duration: Duration) {
+    async fn disrupt_service(&mut self, random: &mut ChaCha8Rng, duration: Duration) {
         match random.random_range(0..4) {
             0 => self.service.down.store(true, Ordering::Relaxed),
             1 => self
@@ -321,7 +326,7 @@
         self.change_after_fault(random).await;
     }
 
-    async fn trouble_service_for_some(&mut self, random: &mut ChaCha8Rng) {
+    async fn disrupt_service_for_some(&mut self, random: &mut ChaCha8Rng) {
         self.promises.disturbances.record_start();
         let mode = match random.random_range(0..3) {
             0 => Mode::Silence,
@@ -382,7 +387,7 @@
         }
     }
 
-    async fn cut_replicas(&mut self, random: &mut ChaCha8Rng, duration: Duration) {
+    async fn disrupt_replica_connections(&mut self, random: &mut ChaCha8Rng, duration: Duration) {
         let mode = draw_mode(random);
         let delay = random_milliseconds(random, 0, 60);
         let number = random.random_range(0..self.replica_proxies.len());
@@ -393,7 +398,7 @@
             .set(Mode::Pass, Duration::ZERO);
     }
 
-    async fn trouble_replicas(&mut self, random: &mut ChaCha8Rng, duration: Duration) {
+    async fn disrupt_replicas(&mut self, random: &mut ChaCha8Rng, duration: Duration) {
         let trouble = &self.trouble;
         for percent in [&trouble.shed, &trouble.cut, &trouble.lost] {
             percent.store(random.random_range(0..25), Ordering::Relaxed);
--- a/crates/stageyoke-lab/src/soak/keys.rs
+++ b/crates/stageyoke-lab/src/soak/keys.rs
@@ -76,7 +76,7 @@
             if granted.len() as f64 > limit * MAX_GRANTED_LIMITS {
                 let (count, window) = (granted.len(), QUOTA_WINDOW.as_millis());
                 self.promises.report_breach(format!(
-                    "a tenant was granted {count} requests in {window} ms, of {limit}"
+                    "a tenant was granted {count} requests in {window} ms, with a limit of {limit}"
                 ));
                 granted.clear();
             }
@@ -86,8 +86,8 @@
     async fn probe_valid_key(&self, number: u64) {
         let request = format!("steady-{number}");
         match self.request_status(&request, number, STEADY_KEY).await {
-            Some(429) => self.report(&request, "a tenant under its limit was refused"),
-            Some(401) => self.report(&request, "a key that is kept was refused"),
+            Some(429) => self.report(&request, "a tenant under its limit was rejected"),
+            Some(401) => self.report(&request, "a valid key was rejected"),
             _ => {}
         }
     }
@@ -106,7 +106,7 @@
             .await;
         if status == Some(200) && self.promises.disturbances.bounds_apply() {
             let late = age.as_millis();
-            let what = format!("a key was taken {late} ms after its removal");
+            let what = format!("a revoked key was accepted {late} ms after its removal");
             self.report(&request, &what);
         }
     }
--- a/crates/stageyoke-lab/src/soak/losses.rs
+++ b/crates/stageyoke-lab/src/soak/losses.rs
@@ -79,15 +79,15 @@
         for _ in 0..random.random_range(MIN_LOSSES..=MAX_LOSSES) {
             let loss = LOSSES[random.random_range(0..LOSSES.len())];
             let number = self.draw_store(random);
-            if Instant::now() + loss.max_duration(self.catch_up) > self.until {
+            if Instant::now() + loss.max_duration(self.catch_up) > self.ends_at {
                 break;
             }
             let node = self.processes[number].node.clone();
             let served = self.lose_store(loss, number, random).await;
             let after = served.map_or("never".to_owned(), |after| {
-                format!("{} ms after it was over", after.as_millis())
+                format!("after {} ms", after.as_millis())
             });
-            summaries.push(format!("{loss:?} {node}, served {after}"));
+            summaries.push(format!("{loss:?} {node}, next turn served: {after}"));
             if served.is_none() {
                 break;
             }
--- a/crates/stageyoke-lab/src/soak/mod.rs
+++ b/crates/stageyoke-lab/src/soak/mod.rs
@@ -97,12 +97,12 @@
     RegressionCase {
         seed: 3_967_300_783,
         fault_kinds: 12,
-        cause: "all killed at the very first start, before the disks' marks: no group was ever founded",
+        cause: "all processes killed at the first start, before the disks were marked: no group was formed",
     },
     RegressionCase {
         seed: 3_548_155_731,
         fault_kinds: 12,
-        cause: "the same cause, with a front killed next",
+        cause: "the same cause, followed by the kill of a front",
     },
 ];
 
@@ -120,7 +120,7 @@
     let mut deployment = started.await?;
     let started_at = Instant::now();
     let until = started_at + plan.duration;
-    deployment.until = until;
+    deployment.ends_at = until;
     let mut callers = JoinSet::new();
     for number in 0..CALLERS.max(plan.size.fronts as u64) {
         let caller = caller(&deployment, plan.seed ^ (number + 1));
@@ -164,7 +164,7 @@
         .as_ref()
         .is_some_and(|upgrade| !upgrade.is_complete())
     {
-        let breach = "the run ended before all machines were moved".to_owned();
+        let breach = "the run ended before all machines were upgraded".to_owned();
         deployment.promises.report_breach(breach);
     }
     let mut stored_turns = Vec::new();
@@ -172,7 +172,7 @@
         stored_turns.extend(turns.unwrap_or_default());
     }
     if stored_turns.is_empty() {
-        let breach = "no program was served to its end".to_owned();
+        let breach = "no program ran to its end".to_owned();
         deployment.promises.report_breach(breach);
     }
     for task in [&change_probe, &key_probe, &limit_probe] {
@@ -224,7 +224,7 @@
         let mut caller = caller(deployment, seed ^ (number as u64 + 1_000));
         let promises: Arc<Promises> = deployment.promises.clone();
         if Instant::now() > start_deadline {
-            promises.report_breach(format!("{} was not asked for: no time was left", turn.turn));
+            promises.report_breach(format!("{} was not requested: no time was left", turn.turn));
             continue;
         }
         let expires_at = turn.answered_at + Duration::from_secs(RETENTION_SECONDS);
@@ -238,7 +238,10 @@
             let mut given = 0;
             let next = caller.turn(&program, UNLIMITED_BUDGET, Some(&turn), &mut given, until);
             if next.await.is_none() {
-                promises.report_breach(format!("{} can't be gone on from at the end", turn.turn));
+                promises.report_breach(format!(
+                    "{} could not be continued at the end of the run",
+                    turn.turn
+                ));
             }
         });
         // Limits concurrency; the final check is not a load test.
--- a/crates/stageyoke-lab/src/soak/processes.rs
+++ b/crates/stageyoke-lab/src/soak/processes.rs
@@ -62,7 +62,7 @@
 
 /// Parameters that all processes of a run share.
 #[derive(Clone, Debug)]
-pub struct Shared {
+pub struct ProcessParameters {
     /// Path of the program.
     pub program: PathBuf,
     /// Directory for settings, data and logs.
@@ -80,25 +80,25 @@
 impl Process {
     /// Creates a process without starting it.
     pub fn new(
-        shared: &Shared,
+        parameters: &ProcessParameters,
         node: String,
         role: ProcessRole,
         addresses: [SocketAddr; 3],
     ) -> Self {
         let [front, ready, peer_address] = addresses;
         Self {
-            folder: shared.folder.join(&node),
+            folder: parameters.folder.join(&node),
             node,
             role,
             front,
             started_at: None,
             ready,
             peer_address,
-            program: shared.program.clone(),
-            platform: shared.platform,
-            seeds: shared.seeds.clone(),
-            catch_up: shared.catch_up,
-            monitor: shared.monitor.clone(),
+            program: parameters.program.clone(),
+            platform: parameters.platform,
+            seeds: parameters.seeds.clone(),
+            catch_up: parameters.catch_up,
+            monitor: parameters.monitor.clone(),
             advertised: None,
             child: None,
         }
--- a/crates/stageyoke-lab/src/soak/promises.rs
+++ b/crates/stageyoke-lab/src/soak/promises.rs
@@ -81,14 +81,16 @@
         observed.runs += 1;
         let runs = observed.runs;
         match record.expected.get(request).cloned() {
-            None => record.breach(format!("{request} runs, and nobody sent it")),
+            None => record.breach(format!("{request} ran without having been sent")),
             Some(expected) => {
                 if expected.body != *body {
                     let sizes = (expected.body.len(), body.len());
-                    record.breach(format!("{request} runs with another body: {sizes:?}"));
+                    record.breach(format!(
+                        "{request} ran with a different body; expected and actual bytes: {sizes:?}"
+                    ));
                 }
                 if runs > 1 && !expected.repeatable {
-                    record.breach(format!("{request} runs {runs} times"));
+                    record.breach(format!("{request} ran {runs} times but is not repeatable"));
                 }
             }
         }
@@ -144,7 +146,7 @@
                     .get(*request)
                     .is_some_and(|expected| !expected.repeatable)
             })
-            .map(|(request, status)| format!("{request} was answered {status} and ran"))
+            .map(|(request, status)| format!("{request} was refused with status {status} but ran"))
             .collect();
         for breach in refused_runs {
             record.breach(breach);
--- a/crates/stageyoke-lab/src/soak/slopes.rs
+++ b/crates/stageyoke-lab/src/soak/slopes.rs
@@ -216,7 +216,7 @@
                 let (node, per_second) = (&monitored.node, slope.per_second);
                 let (quantity, first, last) = (slope.quantity, slope.first, slope.last);
                 breaches.push(format!(
-                    "{node}: {quantity:?} rises by {per_second:.1} a second beyond the \
+                    "{node}: {quantity:?} grows by {per_second:.1} per second after the \
                      retention, from {first} to {last}"
                 ));
             }
--- a/crates/stageyoke-lab/src/soak/upgrade.rs
+++ b/crates/stageyoke-lab/src/soak/upgrade.rs
@@ -73,13 +73,13 @@
             false => &upgrade.next,
         };
         let node = self.processes[number].node.clone();
-        let way = if rollback { "back" } else { "on" };
+        let action = if rollback { "rolled back" } else { "upgraded" };
         self.set_program(number, program.clone());
         if number < self.size.fronts {
             self.promises.disturbances.record_start();
             self.restart(number, Signal::SIGTERM).await;
             self.promises.disturbances.record_end();
-            return Some(format!("{node} moves {way}"));
+            return Some(format!("{node} {action}"));
         }
         let replaced = random.random_range(0..ONE_REPLACED_IN) == 0;
         match replaced {
@@ -92,7 +92,7 @@
         } else {
             "its disk"
         };
-        Some(format!("{node} moves {way} with {disk}"))
+        Some(format!("{node} {action} with {disk}"))
     }
 
     async fn replace_with_empty_store(&mut self, number: usize) {
--- a/crates/stageyoke-lab/tests/keys_test.rs
+++ b/crates/stageyoke-lab/tests/keys_test.rs
@@ -125,7 +125,7 @@
     State::Trouble,
     "under its limit"
 )]
-#[case::rejects_valid_keys(rejects_valid_keys, State::Calm, "a key that is kept")]
+#[case::rejects_valid_keys(rejects_valid_keys, State::Calm, "a valid key")]
 #[case::has_no_rate_limit(has_no_rate_limit, State::Calm, "a tenant was granted")]
 #[case::has_no_rate_limit_in_trouble(has_no_rate_limit, State::Trouble, "")]
 #[case::has_no_rate_limit_before_any_turn(has_no_rate_limit, State::NoTurnYet, "")]
