--- a/crates/stageyoke-lab/src/caller.rs
+++ b/crates/stageyoke-lab/src/caller.rs
@@ -17,7 +17,7 @@
     /// The whole answer.
     Answer(String),
     /// An error with its kind and run state.
-    Refused {
+    Rejected {
         /// HTTP status; 200 if the stream had begun.
         status: u16,
         /// Kind.
@@ -26,7 +26,7 @@
         run_state: String,
     },
     /// The connection broke, or the stream ended without its end.
-    Broken,
+    Incomplete,
 }
 
 impl Reply {
@@ -93,10 +93,10 @@
             }
         }
         let Ok(request) = request.body(full_body(body.to_string())) else {
-            return Reply::Broken;
+            return Reply::Incomplete;
         };
         let Some((status, body)) = self.send(request).await else {
-            return Reply::Broken;
+            return Reply::Incomplete;
         };
         if status != StatusCode::OK {
             return refusal(status, &body);
@@ -109,7 +109,7 @@
     }
 
     /// Asks for a program; none if the node did not answer.
-    pub async fn program(
+    pub async fn request_program(
         &self,
         node: SocketAddr,
         method: Method,
@@ -154,7 +154,7 @@
 fn refusal(status: StatusCode, body: &[u8]) -> Reply {
     let value: Value = serde_json::from_slice(body).unwrap_or_default();
     let field = |name: &str| value["error"][name].as_str().unwrap_or_default().to_owned();
-    Reply::Refused {
+    Reply::Rejected {
         status: status.as_u16(),
         kind: field("kind"),
         run_state: field("run_state"),
@@ -165,7 +165,7 @@
     let value: Value = serde_json::from_slice(body).unwrap_or_default();
     match value["choices"][0]["message"]["content"].as_str() {
         Some(text) => Reply::Answer(text.to_owned()),
-        None => Reply::Broken,
+        None => Reply::Incomplete,
     }
 }
 
@@ -187,5 +187,5 @@
             answer.push_str(piece);
         }
     }
-    Reply::Broken
+    Reply::Incomplete
 }
--- a/crates/stageyoke-lab/src/cluster.rs
+++ b/crates/stageyoke-lab/src/cluster.rs
@@ -16,7 +16,7 @@
 use stageyoke_types::ConfigVersion;
 
 use crate::standins::application::ApplicationStandIn;
-use crate::standins::engine::{self, Pace, RunningEngine};
+use crate::standins::engine::{self, EngineTiming, RunningEngine};
 use crate::standins::key_value::KeyValueStandIn;
 use crate::standins::machine_list::{ListedMachine, MachineListStandIn};
 use crate::standins::{StandInServer, serve};
@@ -31,11 +31,11 @@
 
 /// Shape of a lab cluster.
 #[derive(Clone, Debug)]
-pub struct LabShape {
+pub struct ClusterShape {
     /// Nodes.
     pub nodes: usize,
     /// How many of them have a data folder.
-    pub disks: usize,
+    pub durable_nodes: usize,
     /// Engines.
     pub engines: usize,
     /// Replicas of each application pool.
@@ -43,7 +43,7 @@
     /// Shards.
     pub shards: u32,
     /// Speed of the engines.
-    pub pace: Pace,
+    pub timing: EngineTiming,
     /// Use mutual TLS between the nodes.
     pub tls: bool,
 }
@@ -68,26 +68,26 @@
     /// Application replicas: the pool's, then the legacy pool's.
     pub applications: Vec<Arc<ApplicationStandIn>>,
     /// Key-value service.
-    pub store: Arc<KeyValueStandIn>,
+    pub key_value: Arc<KeyValueStandIn>,
     /// Where the key-value service listens.
-    pub store_address: SocketAddr,
+    pub key_value_address: SocketAddr,
     /// Addresses of the application replicas.
     pub application_addresses: Vec<SocketAddr>,
-    shape: LabShape,
+    shape: ClusterShape,
     folder: tempfile::TempDir,
     _servers: Vec<StandInServer>,
 }
 
 impl LabCluster {
     /// Starts the stand-ins and the nodes.
-    pub async fn start(shape: LabShape) -> miette::Result<Self> {
-        let store = Arc::new(KeyValueStandIn::default());
-        let store_server = serve(store.clone(), None).await.into_diagnostic()?;
+    pub async fn start(shape: ClusterShape) -> miette::Result<Self> {
+        let key_value = Arc::new(KeyValueStandIn::default());
+        let store_server = serve(key_value.clone(), None).await.into_diagnostic()?;
         let machines = Arc::new(MachineListStandIn::default());
         let machine_server = serve(machines.clone(), None).await.into_diagnostic()?;
         let mut engines = Vec::new();
         for _ in 0..shape.engines {
-            engines.push(engine::start(shape.pace).await.into_diagnostic()?);
+            engines.push(engine::start(shape.timing).await.into_diagnostic()?);
         }
         let mut applications = Vec::new();
         let mut servers = Vec::new();
@@ -106,8 +106,8 @@
             nodes: Vec::new(),
             engines,
             applications,
-            store,
-            store_address: store_server.address,
+            key_value,
+            key_value_address: store_server.address,
             application_addresses,
             shape,
             folder: tempfile::tempdir().into_diagnostic()?,
@@ -138,7 +138,7 @@
                 caller_address: listeners.caller_address,
                 operator_address: listeners.operator_address,
                 seeds: Vec::new(),
-                store_addresses: vec![self.store_address],
+                store_addresses: vec![self.key_value_address],
                 machine_list_address: Some(machine_list),
                 cluster_key: cluster_key.clone(),
                 tls: tls.clone(),
@@ -172,7 +172,7 @@
 
     fn data_folder(&self, index: usize) -> Option<PathBuf> {
         let folder = self.folder.path().join(format!("data-{index}"));
-        (index < self.shape.disks).then_some(folder)
+        (index < self.shape.durable_nodes).then_some(folder)
     }
 
     fn listed_machines(&self) -> Vec<ListedMachine> {
@@ -232,14 +232,14 @@
 
     /// Applies a configuration and waits until it is in force on every node.
     pub async fn apply(&self, text: &str) -> miette::Result<u64> {
-        let version = self.accept(text).await?;
-        self.wait_in_force(version).await?;
+        let version = self.submit_configuration(text).await?;
+        self.wait_for_version(version).await?;
         Ok(version)
     }
 
     /// Applies a configuration without waiting for the nodes.
-    pub async fn accept(&self, text: &str) -> miette::Result<u64> {
-        let store = KeyValueClient::new(vec![self.store_address]);
+    pub async fn submit_configuration(&self, text: &str) -> miette::Result<u64> {
+        let store = KeyValueClient::new(vec![self.key_value_address]);
         let current = stageyoke_node::platform::config_source::read(&store)
             .await
             .into_diagnostic()?;
@@ -276,7 +276,7 @@
     }
 
     /// Waits until a version is in force on every running node.
-    pub async fn wait_in_force(&self, version: u64) -> miette::Result<()> {
+    pub async fn wait_for_version(&self, version: u64) -> miette::Result<()> {
         let wanted = ConfigVersion(version);
         let what = format!("configuration {version} in force everywhere");
         self.wait_until(&what, async |node| {
@@ -287,7 +287,7 @@
     }
 
     /// Waits until every shard has a leader that every running node can reach.
-    pub async fn wait_formed(&self) -> miette::Result<()> {
+    pub async fn wait_for_leaders(&self) -> miette::Result<()> {
         let deadline = Instant::now() + PATIENCE;
         loop {
             let mut leading = 0;
@@ -353,7 +353,7 @@
 
     /// Fills in the addresses of the stand-ins in a configuration's text.
     /// Engines and replicas are taken in the order in which they stand there.
-    pub fn fill_addresses(&self, text: &str) -> String {
+    pub fn substitute_addresses(&self, text: &str) -> String {
         let mut engines = self
             .engines
             .iter()
--- a/crates/stageyoke-lab/src/commands.rs
+++ b/crates/stageyoke-lab/src/commands.rs
@@ -8,14 +8,14 @@
 use miette::{Context, IntoDiagnostic};
 use stageyoke_node::events::{LogFormat, start_log};
 
-use crate::cluster::{LabCluster, LabShape};
+use crate::cluster::{ClusterShape, LabCluster};
 use crate::hunts::Hunts;
 use crate::lateness::Lateness;
 use crate::load::LoadPlan;
 use crate::soak::deployment::{CATCH_UP, Size};
 use crate::soak::faults::{FAULTS, Fault, NAMED_FAULTS};
 use crate::soak::{self, SoakPlan};
-use crate::standins::engine::Pace;
+use crate::standins::engine::EngineTiming;
 use crate::{demo, failover, load};
 
 /// Laboratory of stageyoke: demonstration, cluster, load and soak runs.
@@ -293,13 +293,13 @@
             let plan = LoadPlan {
                 calls: arguments.calls,
                 concurrency: arguments.concurrency,
-                shape: LabShape {
+                shape: ClusterShape {
                     nodes: arguments.nodes,
-                    disks: arguments.disks,
+                    durable_nodes: arguments.disks,
                     engines: 4,
                     replicas: 1,
                     shards: 64,
-                    pace: Pace::Instant,
+                    timing: EngineTiming::Instant,
                     tls: arguments.tls,
                 },
             };
@@ -315,9 +315,9 @@
     let name = arguments.config.display().to_string();
     let checked = stageyoke_config::check(&name, &text)?;
     let pools = checked.config.pools.len().max(1);
-    let shape = LabShape {
+    let shape = ClusterShape {
         nodes: arguments.nodes,
-        disks: arguments.disks,
+        durable_nodes: arguments.disks,
         engines: checked.config.engines.len(),
         replicas: checked
             .config
@@ -327,14 +327,14 @@
             .sum::<usize>()
             / pools,
         shards: 64,
-        pace: Pace::Modelled(Default::default()),
+        timing: EngineTiming::Modelled(Default::default()),
         tls: arguments.tls,
     };
     let cluster = LabCluster::start(shape).await?;
-    let (text, key) = demo::with_sample_key(&cluster.fill_addresses(&text));
+    let (text, key) = demo::with_sample_key(&cluster.substitute_addresses(&text));
     cluster.apply(&text).await?;
-    cluster.wait_formed().await?;
-    println!("key-value service  {}", cluster.store_address);
+    cluster.wait_for_leaders().await?;
+    println!("key-value service  {}", cluster.key_value_address);
     for (index, node) in cluster.running() {
         let (callers, operators) = (node.caller_address, node.operator_address);
         println!("node-{index}  callers http://{callers}  operators http://{operators}");
--- a/crates/stageyoke-lab/src/demo/checks.rs
+++ b/crates/stageyoke-lab/src/demo/checks.rs
@@ -9,7 +9,7 @@
 use super::programs::{SEQUENTIAL_PREFIX, Seen};
 use crate::caller::Reply;
 use crate::standins::engine::RunRecord;
-use crate::standins::text::{PromptMessage, whole_answer};
+use crate::standins::text::{PromptMessage, complete_answer};
 
 /// Most tokens of any answer in the demonstration; the stand-in's are shorter.
 const MAX_TOKENS: u32 = 1_024;
@@ -44,7 +44,7 @@
             .collect();
         (0..prompt.len()).all(|place| {
             prompt[place].role != "assistant"
-                || prompt[place].content == whole_answer(&prompt[..place], MAX_TOKENS)
+                || prompt[place].content == complete_answer(&prompt[..place], MAX_TOKENS)
         })
     }
 
@@ -190,7 +190,7 @@
 }
 
 fn is_unknown(reply: &Reply) -> bool {
-    matches!(reply, Reply::Refused { run_state, .. } if run_state == "unknown")
+    matches!(reply, Reply::Rejected { run_state, .. } if run_state == "unknown")
 }
 
 /// Whatever was answered with `not_run`, and never otherwise, did not run.
@@ -212,5 +212,5 @@
 }
 
 fn is_not_run(reply: &Reply) -> bool {
-    matches!(reply, Reply::Refused { run_state, .. } if run_state == "not_run")
+    matches!(reply, Reply::Rejected { run_state, .. } if run_state == "not_run")
 }
--- a/crates/stageyoke-lab/src/demo/programs.rs
+++ b/crates/stageyoke-lab/src/demo/programs.rs
@@ -159,8 +159,8 @@
 fn may_change(reply: &Reply) -> bool {
     match reply {
         Reply::Answer(_) => false,
-        Reply::Broken => true,
-        Reply::Refused {
+        Reply::Incomplete => true,
+        Reply::Rejected {
             kind, run_state, ..
         } => run_state == "not_run" || kind == "deadline_exceeded",
     }
--- a/crates/stageyoke-lab/src/demo/scenario.rs
+++ b/crates/stageyoke-lab/src/demo/scenario.rs
@@ -12,8 +12,8 @@
 use super::programs::{Log, Nodes, ProgramPlan, SEQUENTIAL_PREFIX, Seen, World, play};
 use super::{Row, with_sample_key};
 use crate::caller::{CallPlan, Caller, Reply};
-use crate::cluster::{LabCluster, LabShape};
-use crate::standins::engine::{Pace, RunRecord};
+use crate::cluster::{ClusterShape, LabCluster};
+use crate::standins::engine::{EngineTiming, RunRecord};
 
 /// Programs that run at once.
 const PROGRAMS: usize = 24;
@@ -32,13 +32,13 @@
 
 /// Runs one deployment and gives the table's rows.
 pub async fn run(text: &str, tls: bool) -> miette::Result<Vec<Row>> {
-    let shape = LabShape {
+    let shape = ClusterShape {
         nodes: NODES,
-        disks: 2,
+        durable_nodes: 2,
         engines: 8,
         replicas: 6,
         shards: 32,
-        pace: Pace::Modelled(Default::default()),
+        timing: EngineTiming::Modelled(Default::default()),
         tls,
     };
     let mut cluster = LabCluster::start(shape).await?;
@@ -46,9 +46,9 @@
         "  {NODES} nodes, 8 engines, mutual TLS {}",
         if tls { "on" } else { "off" }
     );
-    let (text, key) = with_sample_key(&cluster.fill_addresses(text));
+    let (text, key) = with_sample_key(&cluster.substitute_addresses(text));
     let version = cluster.apply(&text).await?;
-    cluster.wait_formed().await?;
+    cluster.wait_for_leaders().await?;
     println!("  configuration {version} in force on every node; every shard has a leader");
     let config = stageyoke_config::check("example", &text)?.config;
     let world = World {
@@ -121,7 +121,7 @@
     }
     let shown = world
         .caller
-        .program(world.node(2), Method::GET, "together")
+        .request_program(world.node(2), Method::GET, "together")
         .await;
     let entries = shown.map_or(0, |(_, body)| {
         body["history"].as_array().map_or(0, Vec::len)
@@ -171,8 +171,8 @@
     });
     let mut refused = 0;
     for call in calls.collect::<Vec<_>>() {
-        let reply = call.await.unwrap_or(Reply::Broken);
-        let is_budget = matches!(&reply, Reply::Refused { kind, .. } if kind == "budget_exceeded");
+        let reply = call.await.unwrap_or(Reply::Incomplete);
+        let is_budget = matches!(&reply, Reply::Rejected { kind, .. } if kind == "budget_exceeded");
         refused += usize::from(is_budget);
     }
     let runs = all_runs(cluster);
@@ -248,9 +248,9 @@
     let mut rows = Vec::new();
     tokio::time::sleep(STAGE).await;
     let changed = text.replace("ageing_seconds = ", "ageing_seconds = 1");
-    cluster.store.lose_answers(1);
-    let accepted = cluster.accept(&changed).await?;
-    cluster.store.set_down(true);
+    cluster.key_value.lose_answers(1);
+    let accepted = cluster.submit_configuration(&changed).await?;
+    cluster.key_value.set_down(true);
     println!(
         "  configuration {accepted} accepted, its answer lost; the key-value service is down from here on"
     );
@@ -268,7 +268,7 @@
     refresh_nodes(cluster, world);
     println!("  node-{DRAINED} started again");
     rows.push(leaving_engine(cluster).await);
-    cluster.wait_in_force(accepted).await?;
+    cluster.wait_for_version(accepted).await?;
     rows.push(Row {
         promise: "configuration in force, never reverts",
         held: accepted > version,
@@ -396,7 +396,7 @@
     for (number, program) in programs.into_iter().enumerate() {
         let shown = world
             .caller
-            .program(world.node(number), Method::GET, program)
+            .request_program(world.node(number), Method::GET, program)
             .await;
         match shown {
             Some((200, body)) => histories.push(History::of(program, &body)),
@@ -413,7 +413,7 @@
     for (number, history) in histories.iter().enumerate() {
         world
             .caller
-            .program(world.node(number), Method::DELETE, &history.program)
+            .request_program(world.node(number), Method::DELETE, &history.program)
             .await;
     }
     let held = || -> usize {
--- a/crates/stageyoke-lab/src/load.rs
+++ b/crates/stageyoke-lab/src/load.rs
@@ -15,7 +15,7 @@
 use stageyoke_node::backends::{HttpClient, full_body, http_client};
 
 use crate::caller::{CallPlan, Caller};
-use crate::cluster::{LabCluster, LabShape};
+use crate::cluster::{ClusterShape, LabCluster};
 use crate::demo::with_sample_key;
 use crate::process::{cpu_time, resident_bytes};
 
@@ -33,7 +33,7 @@
     /// Calls under way at once.
     pub concurrency: usize,
     /// Cluster.
-    pub shape: LabShape,
+    pub shape: ClusterShape,
 }
 
 /// What was measured.
@@ -57,11 +57,11 @@
 /// Runs the measurement and prints it.
 pub async fn run(plan: LoadPlan, as_json: bool) -> miette::Result<()> {
     let cluster = LabCluster::start(plan.shape.clone()).await?;
-    let (text, key) = with_sample_key(&cluster.fill_addresses(CONFIG));
+    let (text, key) = with_sample_key(&cluster.substitute_addresses(CONFIG));
     cluster
         .apply(&text.replace("slots = 32", "slots = 10000"))
         .await?;
-    cluster.wait_formed().await?;
+    cluster.wait_for_leaders().await?;
     let node = *cluster
         .caller_addresses()
         .first()
--- a/crates/stageyoke-lab/src/soak/changes.rs
+++ b/crates/stageyoke-lab/src/soak/changes.rs
@@ -75,7 +75,7 @@
 /// Asks for a path with a key; the status, if there is an answer.
 pub async fn ask(front: SocketAddr, request: &str, path: &str, key: &str) -> Option<u16> {
     let mut stream = TcpStream::connect(front).await.ok()?;
-    let (identifier, deadline) = (names::REQUEST, names::DEADLINE);
+    let (identifier, deadline) = (names::REQUEST_ID, names::DEADLINE_MS);
     let milliseconds = DEADLINE.as_millis();
     let text = format!(
         "GET {path} HTTP/1.1\r\nhost: {HOST}\r\n{identifier}: {request}\r\n\
--- a/crates/stageyoke-lab/src/soak/deployment.rs
+++ b/crates/stageyoke-lab/src/soak/deployment.rs
@@ -19,7 +19,7 @@
 use super::proxy::Proxy;
 use super::replicas::unix_milliseconds;
 use super::slopes::Lives;
-use crate::standins::platform::replica::{ReplicaStandIn, ReplicaTrouble};
+use crate::standins::platform::replica::{ReplicaFaults, ReplicaStandIn};
 use crate::standins::platform::store::PlatformStoreStandIn;
 use crate::standins::platform::{RETENTION_SECONDS, configuration, names};
 use crate::standins::{StandInServer, serve};
@@ -93,7 +93,7 @@
     /// Proxies before the replicas.
     pub replica_proxies: Vec<Proxy>,
     /// Trouble of all replicas.
-    pub trouble: Arc<ReplicaTrouble>,
+    pub trouble: Arc<ReplicaFaults>,
     /// Fronts, then stores.
     pub processes: Vec<Process>,
     /// What was promised and seen.
@@ -143,16 +143,16 @@
         let server = serve(service.clone(), None).await?;
         let service_address = server.address;
         let mut servers = vec![server];
-        let trouble = Arc::new(ReplicaTrouble::default());
+        let trouble = Arc::new(ReplicaFaults::default());
         let mut replica_proxies = Vec::new();
         let mut replicas = Vec::new();
         for number in 0..MODELS + TOOLS {
             let replica = Arc::new(ReplicaStandIn {
                 id: format!("replica-{number}"),
-                model: number < MODELS,
-                trouble: trouble.clone(),
+                is_engine: number < MODELS,
+                faults: trouble.clone(),
                 promises: promises.clone(),
-                born: AtomicU64::new(unix_milliseconds()),
+                started_at_ms: AtomicU64::new(unix_milliseconds()),
                 leaving_since: Mutex::default(),
             });
             let server = serve(replica.clone(), None).await?;
@@ -286,21 +286,21 @@
         let replica = &self.replicas[number];
         let address = self.replica_proxies[number].address;
         list(&self.service, replica, address, "draining");
-        replica.leaves(true);
+        replica.set_leaving(true);
     }
 
     /// A replica's entry goes without a word, and it serves on.
     pub fn replica_goes(&self, number: usize) {
         let replica = &self.replicas[number];
         self.service.remove(&entry_key(&replica.id));
-        replica.leaves(true);
+        replica.set_leaving(true);
     }
 
     /// Another writer puts this in place of a replica's entry, which names none then.
     pub fn replica_is_spoilt(&self, number: usize, value: &[u8]) {
         let replica = &self.replicas[number];
         self.put_entry(&replica.id, value);
-        replica.leaves(true);
+        replica.set_leaving(true);
     }
 
     /// Writes an entry as it is.
@@ -312,7 +312,7 @@
     pub fn replica_returns(&self, number: usize) {
         let replica = &self.replicas[number];
         let address = self.replica_proxies[number].address;
-        replica.leaves(false);
+        replica.set_leaving(false);
         list(&self.service, replica, address, "ready");
     }
 
@@ -357,14 +357,14 @@
     state: &str,
 ) {
     let entry = json!({
-        "Service": if replica.model { "models" } else { "tools" },
+        "Service": if replica.is_engine { "models" } else { "tools" },
         "Addr": address, "Zone": "lab", "Version": "v1",
         "Slots": 12, "State": state, "ColdLeftMs": 0, "CallSeq": 1,
-        "born": replica.born.load(Ordering::Relaxed),
+        "born": replica.started_at_ms.load(Ordering::Relaxed),
     });
     service.put(&entry_key(&replica.id), entry.to_string().as_bytes());
 }
 
 fn entry_key(id: &str) -> String {
-    format!("{}{id}", names::SERVERS)
+    format!("{}{id}", names::SERVERS_PREFIX)
 }
--- a/crates/stageyoke-lab/src/soak/faults.rs
+++ b/crates/stageyoke-lab/src/soak/faults.rs
@@ -295,22 +295,25 @@
             0 => self.service.down.store(true, Ordering::Relaxed),
             1 => self
                 .service
-                .slow_ms
+                .answer_delay_ms
                 .store(random.random_range(50..600), Ordering::Relaxed),
-            2 => self.service.lost_percent.store(60, Ordering::Relaxed),
+            2 => self
+                .service
+                .lost_answer_percent
+                .store(60, Ordering::Relaxed),
             _ => self.service.forget_history(),
         }
         tokio::time::sleep(lasting).await;
         self.service.down.store(false, Ordering::Relaxed);
-        self.service.slow_ms.store(0, Ordering::Relaxed);
-        self.service.lost_percent.store(0, Ordering::Relaxed);
+        self.service.answer_delay_ms.store(0, Ordering::Relaxed);
+        self.service.lost_answer_percent.store(0, Ordering::Relaxed);
     }
 
     async fn silence_service(&mut self, random: &mut ChaCha8Rng) {
         self.promises.calm.disturb();
-        self.service.fall_silent();
+        self.service.stop_answering();
         tokio::time::sleep(milliseconds(random, 300, 5000)).await;
-        self.service.speak_again();
+        self.service.resume_answering();
         self.promises.calm.settle();
         self.change_after_trouble(random).await;
     }
@@ -389,11 +392,19 @@
 
     async fn trouble_replicas(&mut self, random: &mut ChaCha8Rng, lasting: Duration) {
         let trouble = &self.trouble;
-        for percent in [&trouble.shed, &trouble.cut, &trouble.lost] {
+        for percent in [
+            &trouble.rejected_percent,
+            &trouble.truncated_percent,
+            &trouble.lost_answer_percent,
+        ] {
             percent.store(random.random_range(0..25), Ordering::Relaxed);
         }
         tokio::time::sleep(lasting).await;
-        for percent in [&trouble.shed, &trouble.cut, &trouble.lost] {
+        for percent in [
+            &trouble.rejected_percent,
+            &trouble.truncated_percent,
+            &trouble.lost_answer_percent,
+        ] {
             percent.store(0, Ordering::Relaxed);
         }
     }
--- a/crates/stageyoke-lab/src/soak/keys.rs
+++ b/crates/stageyoke-lab/src/soak/keys.rs
@@ -12,7 +12,7 @@
 
 use super::changes::{ANSWER_WITHIN, Versions, ask};
 use super::promises::{Expected, Promises};
-use crate::standins::platform::SAFE_PATH;
+use crate::standins::platform::IDEMPOTENT_TOOL_PATH;
 use crate::standins::platform::tenants::{HOT_BURST, HOT_KEY, HOT_RATE, STEADY_KEY, guest_key};
 
 /// Window in which requests beyond a tenant's limit are counted; a setting of the
@@ -119,7 +119,7 @@
             repeatable: true,
         };
         self.promises.sends(request, expected);
-        let asking = ask(front, request, SAFE_PATH, key);
+        let asking = ask(front, request, IDEMPOTENT_TOOL_PATH, key);
         let status = tokio::time::timeout(ANSWER_WITHIN, asking).await;
         status.ok().flatten()
     }
--- a/crates/stageyoke-lab/src/soak/losses.rs
+++ b/crates/stageyoke-lab/src/soak/losses.rs
@@ -12,7 +12,7 @@
 use super::deployment::Deployment;
 use super::faults::milliseconds;
 use super::promises::Promises;
-use crate::standins::platform::{RETIREMENT_COMPLETED, names, retirement};
+use crate::standins::platform::{RETIREMENT_COMPLETED, names, retirement_order};
 
 /// Time in which a calm system serves a turn to one of the callers: longer than a
 /// request's deadline and the longest wait after a refusal.
@@ -150,9 +150,9 @@
     /// over.
     async fn retire(&self, number: usize) {
         let node = &self.processes[number].node;
-        let order = format!("{}{node}", names::RETIRE);
-        let answer = format!("{}{node}", names::RETIREMENT);
-        self.service.put(&order, &retirement(RETIRED_WITHIN));
+        let order = format!("{}{node}", names::RETIRE_PREFIX);
+        let answer = format!("{}{node}", names::RETIRE_STATUS_PREFIX);
+        self.service.put(&order, &retirement_order(RETIRED_WITHIN));
         let until = Instant::now() + RETIRED_WITHIN;
         let completed = || {
             let value = self.service.value(&answer).unwrap_or_default();
--- a/crates/stageyoke-lab/src/soak/mod.rs
+++ b/crates/stageyoke-lab/src/soak/mod.rs
@@ -27,8 +27,8 @@
 use tokio::time::Instant;
 
 use crate::standins::platform::RETENTION_SECONDS;
-use crate::standins::platform::caller::{Caller, KeptTurn};
-use crate::standins::platform::tenants::tenanted;
+use crate::standins::platform::caller::{Caller, StoredTurn};
+use crate::standins::platform::tenants::configuration_with_tenants;
 use deployment::{Deployment, Size};
 use faults::{FAULTS, Fault};
 use keys::Tenants;
@@ -117,7 +117,8 @@
 /// Plays a run.
 pub async fn run(plan: &SoakPlan) -> std::io::Result<SoakReport> {
     let first = plan.upgrade_from.as_ref().unwrap_or(&plan.program);
-    let started = Deployment::start_with(first, plan.size, plan.catch_up, tenanted);
+    let started =
+        Deployment::start_with(first, plan.size, plan.catch_up, configuration_with_tenants);
     let mut deployment = started.await?;
     let began = Instant::now();
     let until = began + plan.lasting;
@@ -199,10 +200,10 @@
     }
 }
 
-async fn call_until(mut caller: Caller, until: Instant) -> Vec<KeptTurn> {
+async fn call_until(mut caller: Caller, until: Instant) -> Vec<StoredTurn> {
     let mut kept = Vec::new();
     while Instant::now() < until {
-        kept.extend(caller.program(TURNS, until).await);
+        kept.extend(caller.run_program(TURNS, until).await);
     }
     kept
 }
@@ -210,7 +211,7 @@
 /// After all faults every turn whose retention is not over must still be there,
 /// the newest first. Each has its own time from when it is first asked for; one
 /// that is not asked for is told as that.
-async fn go_on(deployment: &Deployment, seed: u64, mut kept: Vec<KeptTurn>) {
+async fn go_on(deployment: &Deployment, seed: u64, mut kept: Vec<StoredTurn>) {
     let last = Instant::now() + GO_ON_WITHIN;
     kept.sort_by_key(|turn| std::cmp::Reverse(turn.answered_at));
     let mut callers = JoinSet::new();
@@ -218,7 +219,10 @@
         let mut caller = caller(deployment, seed ^ (number as u64 + 1_000));
         let promises: Arc<Promises> = deployment.promises.clone();
         if Instant::now() > last {
-            promises.breach(format!("{} was not asked for: no time was left", turn.turn));
+            promises.breach(format!(
+                "{} was not asked for: no time was left",
+                turn.request_id
+            ));
             continue;
         }
         let kept_until = turn.answered_at + Duration::from_secs(RETENTION_SECONDS);
@@ -230,9 +234,12 @@
         callers.spawn(async move {
             let program = format!("after-{number}");
             let mut given = 0;
-            let next = caller.turn(&program, FREE_BUDGET, Some(&turn), &mut given, until);
+            let next = caller.run_turn(&program, FREE_BUDGET, Some(&turn), &mut given, until);
             if next.await.is_none() {
-                promises.breach(format!("{} can't be gone on from at the end", turn.turn));
+                promises.breach(format!(
+                    "{} can't be gone on from at the end",
+                    turn.request_id
+                ));
             }
         });
         // A few at a time: the end is no load test.
--- a/crates/stageyoke-lab/src/soak/replicas.rs
+++ b/crates/stageyoke-lab/src/soak/replicas.rs
@@ -79,7 +79,9 @@
         // The clock may have been set back before the start.
         let set_back = random.random_range(0..2) * 60_000;
         let born = unix_milliseconds() - set_back;
-        self.replicas[number].born.store(born, Ordering::Relaxed);
+        self.replicas[number]
+            .started_at_ms
+            .store(born, Ordering::Relaxed);
         self.replica_returns(number);
         tokio::time::sleep(milliseconds(random, 300, 2000)).await;
     }
--- a/crates/stageyoke-lab/src/standins/engine.rs
+++ b/crates/stageyoke-lab/src/standins/engine.rs
@@ -62,7 +62,7 @@
 
 /// Speed at which a stand-in engine runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Pace {
+pub enum EngineTiming {
     /// As the model of continuous batching says.
     Modelled(EngineSpeed),
     /// Every token at once, to measure the path alone.
@@ -85,10 +85,10 @@
 }
 
 /// Starts an engine.
-pub async fn start(pace: Pace) -> std::io::Result<RunningEngine> {
-    let speed = match pace {
-        Pace::Modelled(speed) => speed,
-        Pace::Instant => EngineSpeed {
+pub async fn start(timing: EngineTiming) -> std::io::Result<RunningEngine> {
+    let speed = match timing {
+        EngineTiming::Modelled(speed) => speed,
+        EngineTiming::Instant => EngineSpeed {
             max_batch: usize::MAX,
             ..EngineSpeed::default()
         },
@@ -103,7 +103,7 @@
         work: Notify::new(),
         leaving: AtomicBool::new(false),
         started: Instant::now(),
-        instant: pace == Pace::Instant,
+        instant: timing == EngineTiming::Instant,
     });
     let server = serve(state.clone(), None).await?;
     let stepper = tokio::spawn(run_steps(state.clone())).abort_handle();
--- a/crates/stageyoke-lab/src/standins/platform/caller.rs
+++ b/crates/stageyoke-lab/src/standins/platform/caller.rs
@@ -16,7 +16,9 @@
 
 use super::replica::event_data;
 use super::tenants::CALLERS_KEY;
-use super::{HOST, KEPT_PATH, ONCE_PATH, SAFE_PATH, TOKENS_PER_EVENT, names};
+use super::{
+    HOST, IDEMPOTENT_TOOL_PATH, NON_IDEMPOTENT_TOOL_PATH, STORED_TURN_PATH, TOKENS_PER_EVENT, names,
+};
 use crate::soak::promises::{Expected, Promises};
 
 const DEADLINE: Duration = Duration::from_millis(4000);
@@ -26,9 +28,9 @@
 
 /// A kept turn that later turns may go on from.
 #[derive(Clone, Debug)]
-pub struct KeptTurn {
+pub struct StoredTurn {
     /// Its request identifier.
-    pub turn: String,
+    pub request_id: String,
     /// Inputs and outputs of its chain, its own among them.
     pub transcript: Vec<u8>,
     /// When its answer had come whole: it is kept from then on.
@@ -59,15 +61,15 @@
     }
 
     /// Runs one program of some turns; returns its last kept turn.
-    pub async fn program(&mut self, turns: u32, until: Instant) -> Option<KeptTurn> {
+    pub async fn run_program(&mut self, turns: u32, until: Instant) -> Option<StoredTurn> {
         let program = self.identifier();
         // Enough for all turns, or for some: then 402 must come in time.
         let budget = MOST_TOKENS * self.random.random_range(2..turns.max(3) * 2);
         let mut given = 0;
-        let mut last: Option<KeptTurn> = None;
+        let mut last: Option<StoredTurn> = None;
         for _ in 0..turns {
             let Some(next) = self
-                .turn(&program, budget, last.as_ref(), &mut given, until)
+                .run_turn(&program, budget, last.as_ref(), &mut given, until)
                 .await
             else {
                 break;
@@ -78,20 +80,20 @@
             }
             last = Some(next);
             let repeatable = self.random.random_bool(0.5);
-            self.tool(repeatable).await;
+            self.call_tool(repeatable).await;
         }
         last
     }
 
     /// One turn, tried anew until it is answered whole or the time is over.
-    pub async fn turn(
+    pub async fn run_turn(
         &mut self,
         program: &str,
         budget: u32,
-        previous: Option<&KeptTurn>,
+        previous: Option<&StoredTurn>,
         given: &mut u32,
         until: Instant,
-    ) -> Option<KeptTurn> {
+    ) -> Option<StoredTurn> {
         while Instant::now() < until {
             let id = self.identifier();
             let input = format!("question of {id}\n").into_bytes();
@@ -102,15 +104,15 @@
                 repeatable: false,
             };
             self.promises.sends(&id, expected);
-            let mut request = self.request(Method::POST, KEPT_PATH, &id, input);
+            let mut request = self.request(Method::POST, STORED_TURN_PATH, &id, input);
             let headers = request.headers_mut();
             let tokens = format!("10,{MOST_TOKENS}");
             let mut fields = vec![
-                (names::PROGRAM, program.to_owned()),
-                (names::BUDGET, budget.to_string()),
-                (names::TOKENS, tokens),
+                (names::PROGRAM_ID, program.to_owned()),
+                (names::TOKEN_BUDGET, budget.to_string()),
+                (names::TOKEN_COUNTS, tokens),
             ];
-            fields.extend(previous.map(|turn| (names::PREVIOUS, turn.turn.clone())));
+            fields.extend(previous.map(|turn| (names::PREVIOUS_TURN, turn.request_id.clone())));
             for (name, value) in fields {
                 if let Ok(value) = value.parse() {
                     headers.insert(name, value);
@@ -127,8 +129,8 @@
                         body.extend_from_slice(event_data(&id, number).as_bytes());
                         body.push(b'\n');
                     }
-                    return Some(KeptTurn {
-                        turn: id,
+                    return Some(StoredTurn {
+                        request_id: id,
                         transcript: body,
                         answered_at: Instant::now(),
                     });
@@ -147,11 +149,15 @@
     }
 
     /// One call of a tool.
-    pub async fn tool(&mut self, repeatable: bool) {
+    pub async fn call_tool(&mut self, repeatable: bool) {
         let id = self.identifier();
         let (method, path, body) = match repeatable {
-            true => (Method::GET, SAFE_PATH, Vec::new()),
-            false => (Method::POST, ONCE_PATH, format!("order {id}").into_bytes()),
+            true => (Method::GET, IDEMPOTENT_TOOL_PATH, Vec::new()),
+            false => (
+                Method::POST,
+                NON_IDEMPOTENT_TOOL_PATH,
+                format!("order {id}").into_bytes(),
+            ),
         };
         let expected = Expected {
             body: Bytes::from(body.clone()),
@@ -197,8 +203,8 @@
         let key = format!("Bearer {CALLERS_KEY}");
         let fields = [
             ("host", HOST),
-            (names::REQUEST, id),
-            (names::DEADLINE, &deadline),
+            (names::REQUEST_ID, id),
+            (names::DEADLINE_MS, &deadline),
             ("authorization", &key),
         ];
         for (name, value) in fields {
@@ -223,12 +229,12 @@
         };
         let status = response.status();
         if status == StatusCode::OK {
-            let echoed = response.headers().get(names::REQUEST);
+            let echoed = response.headers().get(names::REQUEST_ID);
             if echoed.is_none_or(|value| value.as_bytes() != id.as_bytes()) {
                 self.promises
                     .breach(format!("{id} got another request's answer"));
             }
-            if !response.headers().contains_key(names::STAMP) {
+            if !response.headers().contains_key(names::SIGNATURE) {
                 self.promises
                     .breach(format!("{id} got a success without a signature"));
             }
--- a/crates/stageyoke-lab/src/standins/platform/mod.rs
+++ b/crates/stageyoke-lab/src/standins/platform/mod.rs
@@ -9,33 +9,33 @@
 /// Header names of the platform.
 pub mod names {
     /// Identifier of one try.
-    pub const REQUEST: &str = "request-id";
+    pub const REQUEST_ID: &str = "request-id";
     /// Milliseconds that the caller waits.
-    pub const DEADLINE: &str = "deadline-ms";
+    pub const DEADLINE_MS: &str = "deadline-ms";
     /// Signature of a replica's answer.
-    pub const STAMP: &str = "response-stamp";
+    pub const SIGNATURE: &str = "response-stamp";
     /// Incarnation that a request is meant for.
-    pub const INSTANCE: &str = "expect-instance";
+    pub const EXPECTED_INSTANCE: &str = "expect-instance";
     /// Marks answers to requests that were not run.
-    pub const NOT_RUN: &str = "not-executed";
+    pub const NOT_EXECUTED: &str = "not-executed";
     /// Prompt tokens and most tokens to generate.
-    pub const TOKENS: &str = "token-count";
+    pub const TOKEN_COUNTS: &str = "token-count";
     /// Program of a request.
-    pub const PROGRAM: &str = "program-id";
+    pub const PROGRAM_ID: &str = "program-id";
     /// Tokens of the whole program.
-    pub const BUDGET: &str = "token-budget";
+    pub const TOKEN_BUDGET: &str = "token-budget";
     /// Turn that a request goes on from.
-    pub const PREVIOUS: &str = "previous-turn";
+    pub const PREVIOUS_TURN: &str = "previous-turn";
     /// When a refused request may come back, in seconds.
     pub const RETRY_AFTER: &str = "retry-after";
     /// Key of the operator's configuration.
     pub const CONFIG_KEY: &str = "op/config";
     /// Prefix of the replicas' entries.
-    pub const SERVERS: &str = "servers/";
+    pub const SERVERS_PREFIX: &str = "servers/";
     /// Prefix of the operator's orders to empty a store.
-    pub const RETIRE: &str = "op/retire/";
+    pub const RETIRE_PREFIX: &str = "op/retire/";
     /// Prefix of the answers to these orders.
-    pub const RETIREMENT: &str = "status/retire/";
+    pub const RETIRE_STATUS_PREFIX: &str = "status/retire/";
     /// Variable that names a process's settings file.
     pub const SETTINGS_VARIABLE: &str = "STAGEYOKE_BOOT";
 }
@@ -47,11 +47,11 @@
 /// Host of all routes.
 pub const HOST: &str = "lab.example";
 /// Path of the turns whose history is kept.
-pub const KEPT_PATH: &str = "/kept/turn";
+pub const STORED_TURN_PATH: &str = "/kept/turn";
 /// Path of the tool that may be repeated.
-pub const SAFE_PATH: &str = "/safe/read";
+pub const IDEMPOTENT_TOOL_PATH: &str = "/safe/read";
 /// Path of the tool that may not.
-pub const ONCE_PATH: &str = "/once/write";
+pub const NON_IDEMPOTENT_TOOL_PATH: &str = "/once/write";
 
 /// Path of a route that only this version of the configuration has.
 pub fn version_path(version: u64) -> String {
@@ -90,7 +90,7 @@
 pub const RETIREMENT_COMPLETED: &str = "completed";
 
 /// The operator's order to empty a store within a time.
-pub fn retirement(within: std::time::Duration) -> Vec<u8> {
+pub fn retirement_order(within: std::time::Duration) -> Vec<u8> {
     let order = serde_json::json!({"WithinS": within.as_secs_f64()});
     order.to_string().into_bytes()
 }
--- a/crates/stageyoke-lab/src/standins/platform/replica.rs
+++ b/crates/stageyoke-lab/src/standins/platform/replica.rs
@@ -24,13 +24,13 @@
 
 /// What goes wrong at a replica, in percent of its requests.
 #[derive(Debug, Default)]
-pub struct ReplicaTrouble {
+pub struct ReplicaFaults {
     /// Refused without being run.
-    pub shed: AtomicU32,
+    pub rejected_percent: AtomicU32,
     /// Broken off partway.
-    pub cut: AtomicU32,
+    pub truncated_percent: AtomicU32,
     /// Run, with the answer lost.
-    pub lost: AtomicU32,
+    pub lost_answer_percent: AtomicU32,
 }
 
 /// One replica.
@@ -38,13 +38,13 @@
     /// Its identifier, which it has again where it starts again.
     pub id: String,
     /// Whether it is a model engine.
-    pub model: bool,
+    pub is_engine: bool,
     /// Its trouble.
-    pub trouble: Arc<ReplicaTrouble>,
+    pub faults: Arc<ReplicaFaults>,
     /// Where runs are reported.
     pub promises: Arc<Promises>,
     /// When it started, in Unix milliseconds.
-    pub born: AtomicU64,
+    pub started_at_ms: AtomicU64,
     /// When it said that it leaves.
     pub leaving_since: Mutex<Option<Instant>>,
 }
@@ -60,12 +60,12 @@
 
 impl ReplicaStandIn {
     /// Says that it leaves, or that another has taken its place.
-    pub fn leaves(&self, leaves: bool) {
+    pub fn set_leaving(&self, leaving: bool) {
         let mut since = self
             .leaving_since
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        *since = leaves.then(Instant::now);
+        *since = leaving.then(Instant::now);
     }
 
     /// Work that comes too long after it has said that it leaves.
@@ -86,7 +86,7 @@
 
     fn head(&self, response: &mut Response<Body>, request: &str) {
         let headers = response.headers_mut();
-        for (name, value) in [(names::REQUEST, request), (names::STAMP, &self.id)] {
+        for (name, value) in [(names::REQUEST_ID, request), (names::SIGNATURE, &self.id)] {
             if let Ok(value) = HeaderValue::from_str(value) {
                 headers.insert(name, value);
             }
@@ -96,16 +96,17 @@
     fn refuse(&self, status: StatusCode, request: &str) -> Response<Body> {
         let mut response = respond(status, "");
         self.head(&mut response, request);
-        response.headers_mut().remove(names::STAMP);
+        response.headers_mut().remove(names::SIGNATURE);
         response
             .headers_mut()
-            .insert(names::NOT_RUN, HeaderValue::from_static("1"));
+            .insert(names::NOT_EXECUTED, HeaderValue::from_static("1"));
         response
     }
 
     fn stream(&self, request: String, events: u32) -> Response<Body> {
         let (sender, body) = pieces::channel::<BodyError>(PIECES_WAITING);
-        let cut_at = strikes(&self.trouble.cut).then(|| rand::random_range(0..events.max(1)));
+        let cut_at =
+            strikes(&self.faults.truncated_percent).then(|| rand::random_range(0..events.max(1)));
         tokio::spawn(send_events(sender, request.clone(), events, cut_at));
         let mut response = Response::new(body.boxed());
         self.head(&mut response, &request);
@@ -141,23 +142,23 @@
 impl Handler for ReplicaStandIn {
     async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         let headers = request.headers().clone();
-        let id = text(&headers, names::REQUEST);
-        if text(&headers, names::INSTANCE) != self.id {
+        let id = text(&headers, names::REQUEST_ID);
+        if text(&headers, names::EXPECTED_INSTANCE) != self.id {
             return self.refuse(StatusCode::MISDIRECTED_REQUEST, &id);
         }
         self.check_leaving(&id);
-        if strikes(&self.trouble.shed) {
+        if strikes(&self.faults.rejected_percent) {
             return self.refuse(StatusCode::SERVICE_UNAVAILABLE, &id);
         }
         let Ok(body) = request.into_body().collect().await else {
             return self.refuse(StatusCode::BAD_REQUEST, &id);
         };
         self.promises.runs(&id, &body.to_bytes());
-        if strikes(&self.trouble.lost) {
+        if strikes(&self.faults.lost_answer_percent) {
             std::future::pending::<()>().await;
         }
-        if self.model {
-            let most = text(&headers, names::TOKENS);
+        if self.is_engine {
+            let most = text(&headers, names::TOKEN_COUNTS);
             let most = most.split(',').nth(1).and_then(|most| most.parse().ok());
             let events = most.unwrap_or(TOKENS_PER_EVENT) / TOKENS_PER_EVENT;
             return self.stream(id, events);
--- a/crates/stageyoke-lab/src/standins/platform/store.rs
+++ b/crates/stageyoke-lab/src/standins/platform/store.rs
@@ -27,9 +27,9 @@
     /// Refuses everything.
     pub down: AtomicBool,
     /// Milliseconds that each answer takes longer.
-    pub slow_ms: AtomicU64,
+    pub answer_delay_ms: AtomicU64,
     /// Of 100 writes, so many are done without an answer.
-    pub lost_percent: AtomicU32,
+    pub lost_answer_percent: AtomicU32,
     /// Calls so far.
     pub calls: AtomicU64,
     /// While true, calls are taken and never answered.
@@ -110,13 +110,13 @@
 
     /// Answers nobody any more, and leaves all connections open. What is waiting
     /// now, watches too, never gets an answer.
-    pub fn fall_silent(&self) {
+    pub fn stop_answering(&self) {
         self.silences.fetch_add(1, Ordering::Relaxed);
         self.silent.store(true, Ordering::Relaxed);
     }
 
     /// Answers the calls that come from now on.
-    pub fn speak_again(&self) {
+    pub fn resume_answering(&self) {
         self.silent.store(false, Ordering::Relaxed);
         self.silences.fetch_add(1, Ordering::Relaxed);
     }
@@ -232,7 +232,7 @@
 impl PlatformStoreStandIn {
     async fn answer(&self, request: Request<Incoming>) -> Response<Body> {
         self.calls.fetch_add(1, Ordering::Relaxed);
-        let slow = self.slow_ms.load(Ordering::Relaxed);
+        let slow = self.answer_delay_ms.load(Ordering::Relaxed);
         tokio::time::sleep(Duration::from_millis(slow)).await;
         if self.down.load(Ordering::Relaxed) {
             return respond(StatusCode::SERVICE_UNAVAILABLE, "");
@@ -268,7 +268,7 @@
                     return respond(StatusCode::BAD_REQUEST, "");
                 };
                 let answer = self.transact(&transaction);
-                let lost = self.lost_percent.load(Ordering::Relaxed);
+                let lost = self.lost_answer_percent.load(Ordering::Relaxed);
                 if rand::random_range(0..100) < lost {
                     // Done, and never answered.
                     std::future::pending::<()>().await;
--- a/crates/stageyoke-lab/src/standins/platform/tenants.rs
+++ b/crates/stageyoke-lab/src/standins/platform/tenants.rs
@@ -24,7 +24,7 @@
 }
 
 /// The operator's configuration with tenants.
-pub fn tenanted(version: u64) -> Value {
+pub fn configuration_with_tenants(version: u64) -> Value {
     let tenant = |name: &str, key: &str, rate: f64, burst: f64| json!({"Name": name, "ApiKeys": [key], "RatePerS": rate, "Burst": burst});
     let mut configuration = configuration(version);
     configuration["Tenants"] = json!([
--- a/crates/stageyoke-lab/src/standins/text.rs
+++ b/crates/stageyoke-lab/src/standins/text.rs
@@ -57,7 +57,7 @@
 }
 
 /// The whole answer to a prompt.
-pub fn whole_answer(prompt: &[PromptMessage<'_>], max_tokens: u32) -> String {
+pub fn complete_answer(prompt: &[PromptMessage<'_>], max_tokens: u32) -> String {
     let digest = prompt_digest(prompt);
     let length = answer_length(prompt, max_tokens);
     (0..length)
--- a/crates/stageyoke-lab/tests/cluster_test.rs
+++ b/crates/stageyoke-lab/tests/cluster_test.rs
@@ -2,31 +2,31 @@
 
 use hyper::Method;
 use stageyoke_lab::caller::{CallPlan, Caller, Reply};
-use stageyoke_lab::cluster::{LabCluster, LabShape};
+use stageyoke_lab::cluster::{ClusterShape, LabCluster};
 use stageyoke_lab::demo::with_sample_key;
-use stageyoke_lab::standins::engine::Pace;
-use stageyoke_lab::standins::text::{PromptMessage, whole_answer};
+use stageyoke_lab::standins::engine::EngineTiming;
+use stageyoke_lab::standins::text::{PromptMessage, complete_answer};
 
 const CONFIG: &str = include_str!("../../../examples/flood-warning.toml");
 
 async fn cluster(tls: bool) -> (LabCluster, Caller) {
-    let shape = LabShape {
+    let shape = ClusterShape {
         nodes: 3,
-        disks: 1,
+        durable_nodes: 1,
         engines: 2,
         replicas: 1,
         shards: 8,
-        pace: Pace::Instant,
+        timing: EngineTiming::Instant,
         tls,
     };
     let cluster = LabCluster::start(shape).await.expect("the cluster starts");
-    let (text, key) = with_sample_key(&cluster.fill_addresses(CONFIG));
+    let (text, key) = with_sample_key(&cluster.substitute_addresses(CONFIG));
     cluster
         .apply(&text)
         .await
         .expect("the configuration is applied");
     cluster
-        .wait_formed()
+        .wait_for_leaders()
         .await
         .expect("every shard has a leader");
     (cluster, Caller::new(&key))
@@ -52,15 +52,15 @@
         role: "user",
         content,
     };
-    let expected_first = whole_answer(&[user("first")], 512);
+    let expected_first = complete_answer(&[user("first")], 512);
     assert_eq!(first, Reply::Answer(expected_first.clone()));
     let answered = PromptMessage {
         role: "assistant",
         content: &expected_first,
     };
-    let expected_second = whole_answer(&[user("first"), answered, user("second")], 512);
+    let expected_second = complete_answer(&[user("first"), answered, user("second")], 512);
     assert_eq!(second, Reply::Answer(expected_second));
-    let shown = caller.program(nodes[2], Method::GET, "p").await;
+    let shown = caller.request_program(nodes[2], Method::GET, "p").await;
     let (status, body) = shown.expect("an answer");
     assert_eq!(
         (status, body["history"].as_array().map(Vec::len)),
@@ -92,7 +92,7 @@
     };
     assert!(matches!(
         caller.call(nodes[1], &other).await,
-        Reply::Refused { kind, run_state, .. } if kind == "key_conflict" && run_state == "not_run"
+        Reply::Rejected { kind, run_state, .. } if kind == "key_conflict" && run_state == "not_run"
     ));
 }
 
@@ -126,13 +126,13 @@
     for (reply, expected_status, expected_kind) in cases {
         assert_eq!(
             reply,
-            Reply::Refused {
+            Reply::Rejected {
                 status: expected_status,
                 kind: expected_kind.to_owned(),
                 run_state: "not_run".to_owned(),
             }
         );
     }
-    let missing = caller.program(node, Method::GET, "not-there").await;
+    let missing = caller.request_program(node, Method::GET, "not-there").await;
     assert_eq!(missing.map(|(status, _)| status), Some(404));
 }
--- a/crates/stageyoke-lab/tests/soak_checks_test.rs
+++ b/crates/stageyoke-lab/tests/soak_checks_test.rs
@@ -9,7 +9,7 @@
 use stageyoke_lab::soak::changes::{Versions, probe};
 use stageyoke_lab::soak::promises::Promises;
 use stageyoke_lab::soak::proxy::{Mode, Proxy};
-use stageyoke_lab::standins::platform::replica::{ReplicaStandIn, ReplicaTrouble};
+use stageyoke_lab::standins::platform::replica::{ReplicaFaults, ReplicaStandIn};
 use stageyoke_lab::standins::serve;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -53,14 +53,14 @@
     let promises = Arc::new(Promises::default());
     let replica = Arc::new(ReplicaStandIn {
         id: "replica".to_owned(),
-        model: false,
-        trouble: Arc::new(ReplicaTrouble::default()),
+        is_engine: false,
+        faults: Arc::new(ReplicaFaults::default()),
         promises: promises.clone(),
-        born: Default::default(),
+        started_at_ms: Default::default(),
         leaving_since: Mutex::default(),
     });
     let server = serve(replica.clone(), None).await.expect("server");
-    replica.leaves(true);
+    replica.set_leaving(true);
     tokio::time::sleep(late).await;
     if trouble {
         promises.calm.disturb();
