--- a/crates/stageyoke-lab/src/caller.rs
+++ b/crates/stageyoke-lab/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: an ordinary HTTP client of the OpenAI chat format.
+//! HTTP client of the OpenAI chat format.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,29 +8,29 @@
 use serde_json::{Value, json};
 use stageyoke_node::backends::{HttpClient, full_body, http_client};
 
-/// Longest wait for an answer.
-const TIMEOUT: Duration = Duration::from_secs(60);
+/// Longest wait for a complete answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What a caller got.
+/// Outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// The whole answer.
+    /// Complete answer.
     Answer(String),
-    /// An error with its kind and run state.
+    /// Error answer.
     Rejected {
-        /// HTTP status; 200 if the stream had begun.
+        /// HTTP status; 200 if the stream had started.
         status: u16,
-        /// Kind.
+        /// Error kind.
         kind: String,
-        /// Whether it ran.
+        /// Run state of the call, such as `not_run`.
         run_state: String,
     },
-    /// The connection broke, or the stream ended without its end.
+    /// The connection failed or the stream ended before its final chunk.
     Incomplete,
 }
 
 impl Reply {
-    /// The answer, if there is one.
+    /// Returns the text of a complete answer.
     pub fn answer(&self) -> Option<&str> {
         match self {
             Self::Answer(text) => Some(text),
@@ -39,24 +39,24 @@
     }
 }
 
-/// One call to make.
+/// Parameters of a call.
 #[derive(Clone, Debug, Default)]
 pub struct CallPlan<'a> {
-    /// Program kind.
+    /// Program kind, sent as the model's name.
     pub model: &'a str,
-    /// Text of the one new message.
+    /// Text of the only message.
     pub text: &'a str,
-    /// Program, if the call belongs to one.
+    /// Identifier of the program, if the call belongs to one.
     pub program: Option<&'a str>,
-    /// Parent program.
+    /// Identifier of the parent program.
     pub parent: Option<&'a str>,
     /// Idempotency key.
     pub key: Option<&'a str>,
-    /// Streamed?
+    /// Requests a streamed answer if `true`.
     pub stream: bool,
 }
 
-/// A client with a tenant's key.
+/// Client with a tenant's API key.
 #[derive(Clone)]
 pub struct Caller {
     http: HttpClient,
@@ -64,7 +64,7 @@
 }
 
 impl Caller {
-    /// A client that uses a key.
+    /// Creates a client that sends this API key.
     pub fn new(key: &str) -> Self {
         Self {
             http: http_client(),
@@ -99,16 +99,16 @@
             return Reply::Incomplete;
         };
         if status != StatusCode::OK {
-            return refusal(status, &body);
+            return read_error(status, &body);
         }
         if plan.stream {
             read_stream(&body)
         } else {
-            read_whole(&body)
+            read_unstreamed(&body)
         }
     }
 
-    /// Asks for a program; none if the node did not answer.
+    /// Sends a request about a program; `None` if the answer is incomplete or no JSON.
     pub async fn request_program(
         &self,
         node: SocketAddr,
@@ -126,21 +126,21 @@
         Some((status.as_u16(), value))
     }
 
-    /// Sends any request; none if there is no whole answer.
+    /// Sends any request; `None` if there is no complete answer in time.
     pub async fn send(
         &self,
         request: Request<stageyoke_node::backends::Body>,
     ) -> Option<(StatusCode, Vec<u8>)> {
-        let answered = tokio::time::timeout(TIMEOUT, async {
+        let answer = tokio::time::timeout(ANSWER_TIMEOUT, async {
             let response = self.http.request(request).await.ok()?;
             let status = response.status();
             let body = response.into_body().collect().await.ok()?.to_bytes();
             Some((status, body.to_vec()))
         });
-        answered.await.ok().flatten()
+        answer.await.ok().flatten()
     }
 
-    /// A plain request to a path with the tenant's key.
+    /// Sends a GET request with the tenant's key.
     pub async fn get(&self, node: SocketAddr, path: &str) -> Option<(u16, String)> {
         let request = Request::get(format!("http://{node}{path}"))
             .header("authorization", format!("Bearer {}", self.key))
@@ -151,7 +151,7 @@
     }
 }
 
-fn refusal(status: StatusCode, body: &[u8]) -> Reply {
+fn read_error(status: StatusCode, body: &[u8]) -> Reply {
     let value: Value = serde_json::from_slice(body).unwrap_or_default();
     let field = |name: &str| value["error"][name].as_str().unwrap_or_default().to_owned();
     Reply::Rejected {
@@ -161,7 +161,7 @@
     }
 }
 
-fn read_whole(body: &[u8]) -> Reply {
+fn read_unstreamed(body: &[u8]) -> Reply {
     let value: Value = serde_json::from_slice(body).unwrap_or_default();
     match value["choices"][0]["message"]["content"].as_str() {
         Some(text) => Reply::Answer(text.to_owned()),
@@ -181,10 +181,10 @@
         }
         let value: Value = serde_json::from_str(data).unwrap_or_default();
         if value["error"].is_object() {
-            return refusal(StatusCode::OK, data.as_bytes());
+            return read_error(StatusCode::OK, data.as_bytes());
         }
-        if let Some(piece) = value["choices"][0]["delta"]["content"].as_str() {
-            answer.push_str(piece);
+        if let Some(content) = value["choices"][0]["delta"]["content"].as_str() {
+            answer.push_str(content);
         }
     }
     Reply::Incomplete
--- a/crates/stageyoke-lab/src/cluster.rs
+++ b/crates/stageyoke-lab/src/cluster.rs
@@ -1,5 +1,4 @@
-//! A small cluster of real nodes and stand-ins in one process, on loopback
-//! sockets with ports given by the system.
+//! Cluster of real nodes and stand-ins in one process, on free loopback ports.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -21,55 +20,55 @@
 use crate::standins::machine_list::{ListedMachine, MachineListStandIn};
 use crate::standins::{StandInServer, serve};
 
-/// Zones of a lab cluster.
+/// Zones that the nodes are spread over.
 pub const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
-/// Longest wait for something that should happen soon.
-const PATIENCE: Duration = Duration::from_secs(20);
-const POLL: Duration = Duration::from_millis(25);
+/// Longest wait for a condition that the cluster should reach.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 const MEBIBYTE: u64 = 1 << 20;
 const SEED_COUNT: usize = 3;
 
-/// Shape of a lab cluster.
+/// Size and options of a lab cluster.
 #[derive(Clone, Debug)]
 pub struct ClusterShape {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// How many of them have a data folder.
+    /// Number of nodes with a data folder.
     pub durable_nodes: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Replicas of each application pool.
+    /// Number of replicas in each application pool.
     pub replicas: usize,
-    /// Shards.
+    /// Number of shards.
     pub shards: u32,
-    /// Speed of the engines.
+    /// Timing of the engines' answers.
     pub timing: EngineTiming,
-    /// Use mutual TLS between the nodes.
+    /// Uses mutual TLS between the nodes if `true`.
     pub tls: bool,
 }
 
-/// A place for one node; the node may be down.
+/// Settings of a node, which may be running or stopped.
 pub struct NodeSlot {
-    /// Its settings; the ports stay the same over restarts.
+    /// Node settings; the ports stay the same over restarts.
     pub settings: Settings,
-    /// The node, while it runs.
+    /// Running node, or `None` while it is stopped.
     pub running: Option<RunningNode>,
-    /// Its ports until its first start: a port that is given back before the
-    /// node opens it may be taken by another socket.
+    /// Open listeners until the first start, so that no other socket can take
+    /// the ports.
     listeners: Option<Listeners>,
 }
 
-/// A running lab cluster.
+/// Running cluster with its stand-ins.
 pub struct LabCluster {
-    /// Nodes.
+    /// Running and stopped nodes.
     pub nodes: Vec<NodeSlot>,
-    /// Engines.
+    /// Stand-in engines.
     pub engines: Vec<RunningEngine>,
-    /// Application replicas: the pool's, then the legacy pool's.
+    /// Application replicas: those of the new pool, then those of the legacy pool.
     pub applications: Vec<Arc<ApplicationStandIn>>,
-    /// Key-value service.
+    /// Stand-in key-value service.
     pub key_value: Arc<KeyValueStandIn>,
-    /// Where the key-value service listens.
+    /// Address of the key-value service.
     pub key_value_address: SocketAddr,
     /// Addresses of the application replicas.
     pub application_addresses: Vec<SocketAddr>,
@@ -82,7 +81,7 @@
     /// Starts the stand-ins and the nodes.
     pub async fn start(shape: ClusterShape) -> miette::Result<Self> {
         let key_value = Arc::new(KeyValueStandIn::default());
-        let store_server = serve(key_value.clone(), None).await.into_diagnostic()?;
+        let key_value_server = serve(key_value.clone(), None).await.into_diagnostic()?;
         let machines = Arc::new(MachineListStandIn::default());
         let machine_server = serve(machines.clone(), None).await.into_diagnostic()?;
         let mut engines = Vec::new();
@@ -107,16 +106,16 @@
             engines,
             applications,
             key_value,
-            key_value_address: store_server.address,
+            key_value_address: key_value_server.address,
             application_addresses,
             shape,
             folder: tempfile::tempdir().into_diagnostic()?,
             _servers: servers,
         };
         let machine_list = machine_server.address;
-        cluster._servers.extend([store_server, machine_server]);
+        cluster._servers.extend([key_value_server, machine_server]);
         cluster.start_nodes(machine_list).await?;
-        machines.set(cluster.listed_machines());
+        machines.set_machines(cluster.listed_machines());
         Ok(cluster)
     }
 
@@ -125,7 +124,7 @@
         std::fs::write(&key, rand::random::<[u8; 32]>()).into_diagnostic()?;
         let cluster_key = std::fs::read(&key).into_diagnostic()?;
         let tls = match self.shape.tls {
-            true => Some(make_certificates(self.folder.path())?),
+            true => Some(create_certificates(self.folder.path())?),
             false => None,
         };
         for index in 0..self.shape.nodes {
@@ -184,53 +183,53 @@
         listed.collect()
     }
 
-    /// Starts a node that is down.
+    /// Starts a stopped node.
     pub async fn start_node(&mut self, index: usize) -> miette::Result<()> {
         let settings = self.nodes[index].settings.clone();
         if let Some(listeners) = self.nodes[index].listeners.take() {
             self.nodes[index].running = Some(start_on(listeners, settings).await?);
             return Ok(());
         }
-        // The ports of a node that was just killed may close a little later.
-        let deadline = Instant::now() + PATIENCE;
+        // The ports of a node that was just killed may still be open, so retry.
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         let node = loop {
             match start(settings.clone()).await {
                 Ok(node) => break node,
                 Err(error) if Instant::now() > deadline => return Err(error),
-                Err(_) => tokio::time::sleep(POLL).await,
+                Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
             }
         };
         self.nodes[index].running = Some(node);
         Ok(())
     }
 
-    /// Kills a node at once.
+    /// Kills a node without draining it.
     pub fn kill_node(&mut self, index: usize) {
         if let Some(node) = self.nodes[index].running.take() {
             node.kill();
         }
     }
 
-    /// Stops a node as planned.
+    /// Drains and stops a node.
     pub async fn drain_node(&mut self, index: usize) {
         if let Some(node) = self.nodes[index].running.take() {
             node.drain().await;
         }
     }
 
-    /// Addresses for callers of the nodes that run.
+    /// Returns the caller addresses of the running nodes.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         let running = self.nodes.iter().filter_map(|slot| slot.running.as_ref());
         running.map(|node| node.caller_address).collect()
     }
 
-    /// Nodes that run.
+    /// Iterates over the running nodes and their indices.
     pub fn running(&self) -> impl Iterator<Item = (usize, &RunningNode)> {
         let slots = self.nodes.iter().enumerate();
         slots.filter_map(|(index, slot)| slot.running.as_ref().map(|node| (index, node)))
     }
 
-    /// Applies a configuration and waits until it is in force on every node.
+    /// Applies a configuration and waits until every running node uses it.
     pub async fn apply(&self, text: &str) -> miette::Result<u64> {
         let version = self.submit_configuration(text).await?;
         self.wait_for_version(version).await?;
@@ -239,56 +238,56 @@
 
     /// Applies a configuration without waiting for the nodes.
     pub async fn submit_configuration(&self, text: &str) -> miette::Result<u64> {
-        let store = KeyValueClient::new(vec![self.key_value_address]);
-        let current = stageyoke_node::platform::config_source::read(&store)
+        let client = KeyValueClient::new(vec![self.key_value_address]);
+        let current = stageyoke_node::platform::config_source::read(&client)
             .await
             .into_diagnostic()?;
-        let before = current.map_or(0, |(record, _)| record.version);
+        let current_version = current.map_or(0, |(record, _)| record.version);
         let record = ConfigRecord {
-            version: before + 1,
+            version: current_version + 1,
             apply_id: format!("{:032x}", rand::random::<u128>()),
             operator: "lab".to_owned(),
             text: text.to_owned(),
         };
-        match apply(&store, before, record.clone())
+        match apply(&client, current_version, record.clone())
             .await
             .into_diagnostic()?
         {
             Applied::Accepted(version) => {
-                self.pass_on(&record).await;
+                self.push_configuration(&record).await;
                 Ok(version)
             }
             Applied::Lost(_) => Err(miette!("another configuration was applied meanwhile")),
         }
     }
 
-    /// Tells the nodes of an accepted record, as the operators' tool does.
-    async fn pass_on(&self, record: &ConfigRecord) {
+    /// Sends an accepted configuration to the running nodes, like the operators' tool.
+    async fn push_configuration(&self, record: &ConfigRecord) {
         let http = http_client();
         let body = serde_json::to_vec(record).unwrap_or_default();
         for (_, node) in self.running() {
             let uri = format!("http://{}/config", node.operator_address);
             if let Ok(request) = hyper::Request::post(uri).body(full_body(body.clone())) {
-                // Nodes that miss it hear of it from the others.
+                // A node that misses the request receives the configuration from its peers.
                 let _ = http.request(request).await;
             }
         }
     }
 
-    /// Waits until a version is in force on every running node.
+    /// Waits until every running node uses this configuration version or a later one.
     pub async fn wait_for_version(&self, version: u64) -> miette::Result<()> {
-        let wanted = ConfigVersion(version);
-        let what = format!("configuration {version} in force everywhere");
-        self.wait_until(&what, async |node| {
+        let min_version = ConfigVersion(version);
+        let condition = format!("configuration version {version}");
+        self.wait_until(&condition, async |node| {
             let status = node.driver.status().await;
-            status.is_some_and(|status| status.node.config >= wanted)
+            status.is_some_and(|status| status.node.config >= min_version)
         })
         .await
     }
 
-    /// Waits until every shard has a leader that every running node can reach.
+    /// Waits until the running nodes lead as many shards as the cluster has.
     pub async fn wait_for_leaders(&self) -> miette::Result<()> {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             let mut leading = 0;
             for (_, node) in self.running() {
@@ -304,11 +303,11 @@
                     self.shape.shards
                 ));
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Every node's replicas, one a line, for reports of failures.
+    /// Describes the shards of every running node, one per line, for failure reports.
     pub async fn describe(&self) -> String {
         let mut lines = Vec::new();
         for (index, node) in self.running() {
@@ -336,23 +335,23 @@
 
     async fn wait_until(
         &self,
-        what: &str,
-        holds: impl AsyncFn(&RunningNode) -> bool,
+        condition: &str,
+        is_met: impl AsyncFn(&RunningNode) -> bool,
     ) -> miette::Result<()> {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         for (index, node) in self.running() {
-            while !holds(node).await {
+            while !is_met(node).await {
                 if Instant::now() > deadline {
-                    return Err(miette!("node {index}: no {what} in {PATIENCE:?}"));
+                    return Err(miette!("node {index} did not reach {condition} within {WAIT_TIMEOUT:?}"));
                 }
-                tokio::time::sleep(POLL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    /// Fills in the addresses of the stand-ins in a configuration's text.
-    /// Engines and replicas are taken in the order in which they stand there.
+    /// Replaces the addresses in a configuration's text by those of the stand-ins.
+    /// Engines and replicas are assigned in the order of the text.
     pub fn substitute_addresses(&self, text: &str) -> String {
         let mut engines = self
             .engines
@@ -366,26 +365,27 @@
             if line.starts_with("[[") {
                 section = line.trim().to_owned();
             }
-            let new_line = match (section.as_str(), line.split_once('=')) {
+            let replacement = match (section.as_str(), line.split_once('=')) {
                 ("[[engine]]", Some((key, _))) if key.trim() == "address" => engines
                     .next()
                     .map(|address| format!("address = \"{address}\"")),
                 ("[[pool]]", Some((key, _))) if key.trim() == "addresses" => {
-                    let own = (0..self.shape.replicas).filter_map(|_| replicas.next());
-                    let quoted: Vec<String> = own.map(|address| format!("\"{address}\"")).collect();
+                    let pool = (0..self.shape.replicas).filter_map(|_| replicas.next());
+                    let quoted: Vec<String> =
+                        pool.map(|address| format!("\"{address}\"")).collect();
                     Some(format!("addresses = [{}]", quoted.join(", ")))
                 }
                 _ => None,
             };
-            filled.push_str(new_line.as_deref().unwrap_or(line));
+            filled.push_str(replacement.as_deref().unwrap_or(line));
             filled.push('\n');
         }
         filled
     }
 }
 
-/// Makes an authority and one certificate for the lab's nodes.
-fn make_certificates(folder: &Path) -> miette::Result<TlsFiles> {
+/// Creates a certificate authority and one certificate for all nodes.
+fn create_certificates(folder: &Path) -> miette::Result<TlsFiles> {
     use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
     let authority_key = KeyPair::generate().into_diagnostic()?;
     let mut authority = CertificateParams::new(Vec::new()).into_diagnostic()?;
--- a/crates/stageyoke-lab/src/commands.rs
+++ b/crates/stageyoke-lab/src/commands.rs
@@ -1,4 +1,4 @@
-//! The command line of `stageyoke-lab`.
+//! Command line of `stageyoke-lab`.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -18,7 +18,7 @@
 use crate::standins::engine::EngineTiming;
 use crate::{demo, failover, load};
 
-/// Laboratory of stageyoke: demonstration, cluster, load and soak runs.
+/// Laboratory of stageyoke: demonstration, cluster, load, failover and soak runs.
 #[derive(FromArgs, Debug)]
 struct Arguments {
     #[argh(subcommand)]
@@ -37,71 +37,69 @@
     Hunts(HuntsArguments),
 }
 
-/// Run the real programs as separate processes against stand-ins of the
-/// platform, calm or under random faults, and check every promise.
+/// Run the real program as separate processes against stand-ins of the
+/// platform, with or without random faults, and check every guarantee.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "soak")]
 struct SoakArguments {
-    /// seconds of each run
+    /// duration of each run in seconds
     #[argh(option, default = "60")]
     seconds: u64,
-    /// seed of the first run; drawn where none is given
+    /// seed of the first run; random by default
     #[argh(option)]
     seed: Option<u64>,
-    /// runs, each with the next seed
+    /// number of runs; each uses the next seed
     #[argh(option, default = "1")]
     runs: u64,
-    /// the seeds that once showed a breach, instead
+    /// run the seeds that once broke a guarantee instead
     #[argh(switch)]
     cases: bool,
-    /// without faults
+    /// inject no faults
     #[argh(switch)]
     calm: bool,
-    /// processes, one store in seven; 6 where none is given, 250 at most
+    /// number of processes, one store in seven; 6 by default, at most 250
     #[argh(option, default = "6")]
     processes: usize,
-    /// faults that may strike, by their names with commas between; all where
-    /// none is given
+    /// names of the faults to inject, separated by commas; all by default
     #[argh(option)]
     faults: Option<String>,
-    /// time in which a store's successor catches up, ms; 4400 where none is given
+    /// time for a store's successor to catch up, in ms; 4400 by default
     #[argh(option)]
     catch_up_ms: Option<u64>,
-    /// the program; the one beside this one where none is given
+    /// path of the program; by default the one in this program's folder
     #[argh(option)]
     program: Option<PathBuf>,
-    /// another build of the program that runs first; machines are moved from it to
-    /// the program one after the other, some 9 seconds each
+    /// another build of the program to start with; machines are upgraded from it
+    /// one after the other, about 9 seconds each
     #[argh(option)]
     upgrade_from: Option<PathBuf>,
 }
 
-/// Tell from fronts' logs which programs ended late, by the window in which they
-/// began, and what held them up.
+/// Report from the fronts' logs which programs ended late, by the window in which
+/// they started, and what delayed them.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "lateness")]
 struct LatenessArguments {
-    /// seconds of one window
+    /// length of a window in seconds
     #[argh(option, default = "2")]
     window_seconds: u64,
-    /// pause between two requests of a program that counts as silence, ms
+    /// shortest pause between two requests of a program that counts as silence, in ms
     #[argh(option, default = "2000")]
     silence_ms: u64,
-    /// log files
+    /// log files to read
     #[argh(positional)]
     files: Vec<PathBuf>,
 }
 
-/// Tell from the bench's journal which days broke a rule, had a fault, fell short
-/// of the gate or served under half; fails if there is one, or a run without an
-/// end.
+/// Report from the bench's journal which days broke a rule, had a fault, fell short
+/// of the gate or served under half; fails if there is any, or an unfinished run.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "hunts")]
 struct HuntsArguments {
-    /// folder of the journal
+    /// path of the journal's folder
     #[argh(option, default = "PathBuf::from(\"journal\")")]
     journal: PathBuf,
-    /// identifier of an entry; only those after it are judged
+    /// identifier of an entry; check only later entries
     #[argh(option)]
     since: Option<String>,
 }
@@ -115,54 +113,55 @@
     kills: u64,
 }
 
-/// Run both deployments at a small scale, with failures, and show what each
-/// promise showed; fails if one is broken.
+/// Run both deployments at a small scale with failures, and show the result for
+/// each guarantee; fails if one is broken.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "demo")]
 struct DemoArguments {
-    /// log the nodes' events
+    /// log the events of the nodes
     #[argh(switch)]
     verbose: bool,
 }
 
-/// Keep a cluster of nodes and stand-ins up until interrupted.
+/// Run a cluster of nodes and stand-ins until interrupted.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "cluster")]
 struct ClusterArguments {
-    /// configuration file; its addresses are replaced by the stand-ins'
+    /// configuration file; its addresses are replaced by those of the stand-ins
     #[argh(option)]
     config: PathBuf,
     /// number of nodes
     #[argh(option, default = "3")]
     nodes: usize,
-    /// nodes with a data folder
+    /// number of nodes with a data folder
     #[argh(option, default = "1")]
     disks: usize,
-    /// mutual TLS between the nodes
+    /// use mutual TLS between the nodes
     #[argh(switch)]
     tls: bool,
 }
 
-/// Measure the cost of the path against a direct call to the same stand-in.
+/// Measure the cost of the path through a node against direct calls to the same
+/// stand-in.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "load")]
 struct LoadArguments {
     /// calls in each part of the run
     #[argh(option, default = "5000")]
     calls: u64,
-    /// calls under way at once in the throughput part
+    /// calls in flight at once in the throughput part
     #[argh(option, default = "64")]
     concurrency: usize,
     /// number of nodes
     #[argh(option, default = "3")]
     nodes: usize,
-    /// nodes with a data folder
+    /// number of nodes with a data folder
     #[argh(option, default = "0")]
     disks: usize,
-    /// mutual TLS between the nodes
+    /// use mutual TLS between the nodes
     #[argh(switch)]
     tls: bool,
-    /// print JSON
+    /// print the measurements as JSON
     #[argh(switch)]
     json: bool,
 }
@@ -182,7 +181,7 @@
     }
 }
 
-fn tell_lateness(arguments: &LatenessArguments) -> miette::Result<ExitCode> {
+fn report_lateness(arguments: &LatenessArguments) -> miette::Result<ExitCode> {
     let mut logs = Vec::new();
     for file in &arguments.files {
         let bytes = std::fs::read(file)
@@ -195,7 +194,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn tell_hunts(arguments: &HuntsArguments) -> miette::Result<ExitCode> {
+fn report_hunts(arguments: &HuntsArguments) -> miette::Result<ExitCode> {
     let hunts = Hunts::read(&arguments.journal, arguments.since.as_deref())?;
     print!("{hunts}");
     Ok(match hunts.are_clean() {
@@ -204,8 +203,8 @@
     })
 }
 
-/// Faults of the runs, by the arguments.
-fn soak_faults(arguments: &SoakArguments) -> miette::Result<Vec<Fault>> {
+/// Selects the faults to inject according to the arguments.
+fn select_faults(arguments: &SoakArguments) -> miette::Result<Vec<Fault>> {
     match &arguments.faults {
         _ if arguments.calm => Ok(Vec::new()),
         None => Ok(FAULTS.to_vec()),
@@ -219,23 +218,23 @@
     }
 }
 
-async fn soak_runs(arguments: &SoakArguments) -> miette::Result<ExitCode> {
-    let own = std::env::current_exe().into_diagnostic()?;
+async fn run_soaks(arguments: &SoakArguments) -> miette::Result<ExitCode> {
+    let executable = std::env::current_exe().into_diagnostic()?;
     let program = arguments
         .program
         .clone()
-        .unwrap_or_else(|| soak::program_beside(&own));
-    let first = arguments
+        .unwrap_or_else(|| soak::program_beside(&executable));
+    let first_seed = arguments
         .seed
         .unwrap_or_else(|| rand::random::<u32>().into());
     let mut broken = false;
-    let faults = soak_faults(arguments)?;
+    let faults = select_faults(arguments)?;
     let runs: Vec<(u64, Vec<Fault>)> = match arguments.cases {
         true => soak::CASES
             .iter()
             .map(|case| (case.seed, case.faults()))
             .collect(),
-        false => (first..first + arguments.runs)
+        false => (first_seed..first_seed + arguments.runs)
             .map(|seed| (seed, faults.clone()))
             .collect(),
     };
@@ -271,16 +270,16 @@
 
 async fn dispatch(command: Command) -> miette::Result<ExitCode> {
     match command {
-        Command::Soak(arguments) => soak_runs(&arguments).await,
-        Command::Lateness(arguments) => tell_lateness(&arguments),
-        Command::Hunts(arguments) => tell_hunts(&arguments),
+        Command::Soak(arguments) => run_soaks(&arguments).await,
+        Command::Lateness(arguments) => report_lateness(&arguments),
+        Command::Hunts(arguments) => report_hunts(&arguments),
         Command::Demo(arguments) => {
             if arguments.verbose {
                 start_log(LogFormat::Text);
             }
             demo::run().await
         }
-        Command::Cluster(arguments) => keep_cluster(arguments).await,
+        Command::Cluster(arguments) => run_cluster(arguments).await,
         Command::Failover(arguments) => {
             let report = failover::run(arguments.kills).into_diagnostic()?;
             println!(
@@ -309,7 +308,7 @@
     }
 }
 
-async fn keep_cluster(arguments: ClusterArguments) -> miette::Result<ExitCode> {
+async fn run_cluster(arguments: ClusterArguments) -> miette::Result<ExitCode> {
     start_log(LogFormat::Text);
     let text = std::fs::read_to_string(&arguments.config).into_diagnostic()?;
     let name = arguments.config.display().to_string();
--- a/crates/stageyoke-lab/src/demo/checks.rs
+++ b/crates/stageyoke-lab/src/demo/checks.rs
@@ -1,28 +1,28 @@
-//! What the demonstration checks at its end, from callers' logs, programs as
-//! shown by the nodes, and the engines' records of what they ran.
+//! Final checks of the demonstration, based on the callers' logs, the histories
+//! returned by the nodes and the engines' records of accepted attempts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde_json::Value;
 
-use super::Row;
-use super::programs::{SEQUENTIAL_PREFIX, Seen};
+use super::CheckResult;
+use super::programs::{SEQUENTIAL_PREFIX, CallRecord};
 use crate::caller::Reply;
 use crate::standins::engine::RunRecord;
 use crate::standins::text::{PromptMessage, complete_answer};
 
-/// Most tokens of any answer in the demonstration; the stand-in's are shorter.
+/// Token limit above the length of any answer in the demonstration.
 const MAX_TOKENS: u32 = 1_024;
 
-/// A program's history as shown by a node.
+/// History of a program as returned by a node.
 pub struct History {
-    /// Program.
+    /// Name of the program.
     pub program: String,
     entries: Vec<(String, String)>,
 }
 
 impl History {
-    /// The history in a program's JSON.
+    /// Reads the history from a node's JSON answer about a program.
     pub fn of(program: &str, body: &Value) -> Self {
         let entries = body["history"].as_array().cloned().unwrap_or_default();
         let text =
@@ -36,31 +36,31 @@
         }
     }
 
-    fn follows_from_itself(&self) -> bool {
+    fn is_consistent(&self) -> bool {
         let prompt: Vec<PromptMessage<'_>> = self
             .entries
             .iter()
             .map(|(role, content)| PromptMessage { role, content })
             .collect();
-        (0..prompt.len()).all(|place| {
-            prompt[place].role != "assistant"
-                || prompt[place].content == complete_answer(&prompt[..place], MAX_TOKENS)
+        (0..prompt.len()).all(|position| {
+            prompt[position].role != "assistant"
+                || prompt[position].content == complete_answer(&prompt[..position], MAX_TOKENS)
         })
     }
 
     fn count(&self, role: &str, content: &str) -> usize {
         let entries = self.entries.iter();
-        let same = entries.filter(|entry| entry.0 == role && entry.1 == content);
-        same.count()
+        let matching = entries.filter(|entry| entry.0 == role && entry.1 == content);
+        matching.count()
     }
 
-    fn place_of(&self, content: &str) -> Option<usize> {
+    fn position_of(&self, content: &str) -> Option<usize> {
         self.entries.iter().position(|entry| entry.1 == content)
     }
 }
 
-/// Calls of one program stand in the order in which they were answered.
-pub fn order(seen: &[Seen], histories: &[History]) -> Row {
+/// Checks that histories hold the calls in the order in which they were answered.
+pub fn check_call_order(calls: &[CallRecord], histories: &[History]) -> CheckResult {
     let mut out_of_order = 0;
     let mut compared = 0;
     for history in histories
@@ -68,61 +68,62 @@
         .filter(|history| is_sequential(&history.program))
     {
         let mut last = None;
-        for call in answered(seen, &history.program) {
-            let place = history.place_of(&call.text);
-            out_of_order += usize::from(place < last);
+        for call in answered_calls(calls, &history.program) {
+            let position = history.position_of(&call.text);
+            out_of_order += usize::from(position < last);
             compared += 1;
-            last = place;
+            last = position;
         }
     }
-    Row {
-        promise: "calls of a program stay in order",
+    CheckResult {
+        guarantee: "calls of a program stay in order",
         held: out_of_order == 0 && compared > 0,
-        seen: format!("{compared} answered calls, {out_of_order} out of order"),
+        observed: format!("{compared} answered calls, {out_of_order} out of order"),
     }
 }
 
-/// Programs whose callers wait for each answer before the next call.
+/// Returns `true` for programs whose caller waits for each answer before the next
+/// call.
 fn is_sequential(program: &str) -> bool {
     program.starts_with(SEQUENTIAL_PREFIX)
 }
 
-fn answered<'s>(seen: &'s [Seen], program: &'s str) -> impl Iterator<Item = &'s Seen> {
-    seen.iter().filter(move |call| {
+fn answered_calls<'s>(calls: &'s [CallRecord], program: &'s str) -> impl Iterator<Item = &'s CallRecord> {
+    calls.iter().filter(move |call| {
         call.program == program && call.replies.iter().any(|reply| reply.answer().is_some())
     })
 }
 
-/// Every answer stands once in its program's history, and every history
-/// follows from itself.
-pub fn history(seen: &[Seen], histories: &[History]) -> Row {
+/// Checks that each answer occurs once in its program's history, and that each
+/// answer in a history follows from the messages before it.
+pub fn check_histories_complete(calls: &[CallRecord], histories: &[History]) -> CheckResult {
     let mut missing = 0;
     let mut checked = 0;
     for history in histories {
-        for call in answered(seen, &history.program) {
+        for call in answered_calls(calls, &history.program) {
             let answer = call.replies.iter().find_map(Reply::answer);
             checked += 1;
-            let is_kept = history.count("user", &call.text) == 1
+            let is_stored = history.count("user", &call.text) == 1
                 && history.count("assistant", answer.unwrap_or_default()) == 1;
-            missing += usize::from(!is_kept);
+            missing += usize::from(!is_stored);
         }
     }
     let broken = histories
         .iter()
-        .filter(|history| !history.follows_from_itself())
+        .filter(|history| !history.is_consistent())
         .count();
-    Row {
-        promise: "histories are never lost",
+    CheckResult {
+        guarantee: "histories are never lost",
         held: missing == 0 && broken == 0 && checked > 0,
-        seen: format!(
+        observed: format!(
             "{checked} answers in {} histories, {missing} not there once, {broken} broken",
             histories.len()
         ),
     }
 }
 
-/// Every message of a history was sent to that program.
-pub fn unmixed(histories: &[History]) -> Row {
+/// Checks that each user message in a history was sent to that program.
+pub fn check_histories_separate(histories: &[History]) -> CheckResult {
     let mut foreign = 0;
     let mut messages = 0;
     for history in histories {
@@ -132,37 +133,36 @@
             foreign += usize::from(role == "user" && !content.starts_with(&own));
         }
     }
-    Row {
-        promise: "histories are never mixed",
+    CheckResult {
+        guarantee: "histories are never mixed",
         held: foreign == 0 && messages > 0,
-        seen: format!("{messages} messages, {foreign} foreign"),
+        observed: format!("{messages} messages, {foreign} foreign"),
     }
 }
 
-/// Every answer is the whole answer to its own request: it stands in the
-/// history right after it.
-pub fn whole_answers(seen: &[Seen], histories: &[History]) -> Row {
+/// Checks that the history has each answer directly after its own request.
+pub fn check_answers(calls: &[CallRecord], histories: &[History]) -> CheckResult {
     let mut wrong = 0;
     let mut checked = 0;
     for history in histories {
-        for call in answered(seen, &history.program) {
+        for call in answered_calls(calls, &history.program) {
             let answer = call.replies.iter().find_map(Reply::answer);
-            let next = history.place_of(&call.text).map(|place| place + 1);
-            let kept = next.and_then(|next| history.entries.get(next));
+            let next = history.position_of(&call.text).map(|position| position + 1);
+            let stored = next.and_then(|next| history.entries.get(next));
             checked += 1;
-            wrong += usize::from(kept.map(|entry| entry.1.as_str()) != answer);
+            wrong += usize::from(stored.map(|entry| entry.1.as_str()) != answer);
         }
     }
-    Row {
-        promise: "callers get their own whole answer",
+    CheckResult {
+        guarantee: "callers get their own whole answer",
         held: wrong == 0 && checked > 0,
-        seen: format!("{checked} answers, {wrong} not the recorded one"),
+        observed: format!("{checked} answers, {wrong} not the recorded one"),
     }
 }
 
-/// No keyed message ran twice.
-pub fn at_most_once(seen: &[Seen], runs: &[RunRecord]) -> Row {
-    let keyed: BTreeSet<&str> = seen
+/// Checks that no message with an idempotency key ran twice.
+pub fn check_at_most_once(calls: &[CallRecord], runs: &[RunRecord]) -> CheckResult {
+    let keyed: BTreeSet<&str> = calls
         .iter()
         .filter(|call| call.keyed)
         .map(|call| call.text.as_str())
@@ -171,18 +171,18 @@
     for run in runs {
         *counts.entry(run.last_message.as_str()).or_default() += 1;
     }
-    let twice = keyed
+    let repeated = keyed
         .iter()
         .filter(|text| counts.get(**text).copied().unwrap_or(0) > 1);
-    let twice = twice.count();
-    let unknown = seen
+    let repeated = twice.count();
+    let unknown = calls
         .iter()
         .filter(|call| call.replies.iter().any(is_unknown))
         .count();
-    Row {
-        promise: "keyed calls run at most once",
+    CheckResult {
+        guarantee: "keyed calls run at most once",
         held: twice == 0 && !keyed.is_empty(),
-        seen: format!(
+        observed: format!(
             "{} keyed calls, {twice} ran twice, {unknown} told that the outcome is unknown",
             keyed.len()
         ),
@@ -193,21 +193,21 @@
     matches!(reply, Reply::Rejected { run_state, .. } if run_state == "unknown")
 }
 
-/// Whatever was answered with `not_run`, and never otherwise, did not run.
-pub fn not_run(seen: &[Seen], runs: &[RunRecord]) -> Row {
+/// Checks that calls that were only ever answered `not_run` did not run.
+pub fn check_not_run_errors(calls: &[CallRecord], runs: &[RunRecord]) -> CheckResult {
     let ran: BTreeSet<&str> = runs.iter().map(|run| run.last_message.as_str()).collect();
-    let refused: Vec<&Seen> = seen
+    let refused: Vec<&CallRecord> = calls
         .iter()
         .filter(|call| call.replies.iter().all(is_not_run))
         .collect();
-    let lies = refused
+    let false_errors = refused
         .iter()
         .filter(|call| ran.contains(call.text.as_str()));
-    let lies = lies.count();
-    Row {
-        promise: "\"not run\" is true",
-        held: lies == 0,
-        seen: format!("{} calls refused as not run, {lies} ran", refused.len()),
+    let false_errors = false_errors.count();
+    CheckResult {
+        guarantee: "\"not run\" is true",
+        held: false_errors == 0,
+        observed: format!("{} calls refused as not run, {false_errors} ran", refused.len()),
     }
 }
 
--- a/crates/stageyoke-lab/src/demo/mod.rs
+++ b/crates/stageyoke-lab/src/demo/mod.rs
@@ -1,6 +1,5 @@
-//! The demonstration: both users' deployments at a small scale on real nodes
-//! and sockets, with failures on the way, and a table of what each promise
-//! showed.
+//! Demonstration: runs both example deployments at a small scale on real nodes and
+//! sockets, injects failures, and prints the result for each guarantee.
 
 mod checks;
 mod programs;
@@ -14,35 +13,35 @@
 const FLOOD_WARNING: &str = include_str!("../../../../examples/flood-warning.toml");
 const SABARMATI: &str = include_str!("../../../../examples/sabarmati.toml");
 
-/// One row of the table.
-pub struct Row {
-    /// The promise.
-    pub promise: &'static str,
-    /// Whether it held.
+/// Result of checking one guarantee, printed as a row of the table.
+pub struct CheckResult {
+    /// Guarantee that was checked.
+    pub guarantee: &'static str,
+    /// `true` if the guarantee held.
     pub held: bool,
-    /// What was seen.
-    pub seen: String,
+    /// Counts that the check is based on.
+    pub observed: String,
 }
 
-/// Puts a fresh key in place of a configuration's sample hashes. Returns the
-/// text and the key.
+/// Replaces the first `key_hashes` line of a configuration by the hash of a new
+/// random key. Returns the text and the key.
 pub fn with_sample_key(text: &str) -> (String, String) {
     let key = format!("sk-lab-{:032x}", rand::random::<u128>());
     let mut first = true;
-    let mut changed = String::new();
+    let mut replaced = String::new();
     for line in text.lines() {
         let is_hash = line.starts_with("key_hashes");
         if is_hash && std::mem::take(&mut first) {
-            changed.push_str(&format!("key_hashes = [\"{}\"]", hash_key(&key)));
+            replaced.push_str(&format!("key_hashes = [\"{}\"]", hash_key(&key)));
         } else {
-            changed.push_str(line);
+            replaced.push_str(line);
         }
-        changed.push('\n');
+        replaced.push('\n');
     }
-    (changed, key)
+    (replaced, key)
 }
 
-/// Runs the demonstration for both deployments.
+/// Runs the demonstration for both deployments; fails if a guarantee is broken.
 pub async fn run() -> miette::Result<ExitCode> {
     let mut all_held = true;
     for (name, text, tls) in [
@@ -54,8 +53,8 @@
         let rows = scenario::run(text, tls).await?;
         println!("\n{name}: what each promise showed");
         for row in &rows {
-            let mark = if row.held { "held  " } else { "BROKEN" };
-            println!("  {mark}  {:<34} {}", row.promise, row.seen);
+            let status = if row.held { "held  " } else { "BROKEN" };
+            println!("  {status}  {:<34} {}", row.guarantee, row.observed);
             all_held &= row.held;
         }
         println!("  ({:.1} s)", started.elapsed().as_secs_f64());
--- a/crates/stageyoke-lab/src/demo/programs.rs
+++ b/crates/stageyoke-lab/src/demo/programs.rs
@@ -1,5 +1,5 @@
-//! The programs of the demonstration: several turns with tool pauses, some
-//! with sub-agents, each turn through another node.
+//! Programs of the demonstration: several turns with pauses for tools, some with a
+//! sub-agent; each turn goes through another node.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -7,45 +7,45 @@
 
 use crate::caller::{CallPlan, Caller, Reply};
 
-/// Start of the names of programs that make one call after another.
+/// Name prefix of the programs that wait for each answer before the next call.
 pub const SEQUENTIAL_PREFIX: &str = "program-";
-/// Tries of one keyed turn.
-const TRIES: usize = 12;
-/// Pause between two tries.
-const RETRY_PAUSE: Duration = Duration::from_millis(700);
+/// Maximum attempts of a turn with an idempotency key.
+const MAX_ATTEMPTS: usize = 12;
+/// Delay between two attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(700);
 
-/// One request as its caller saw it.
+/// Request and its replies as seen by the caller.
 #[derive(Clone, Debug)]
-pub struct Seen {
-    /// Program.
+pub struct CallRecord {
+    /// Name of the program.
     pub program: String,
-    /// Text that was sent.
+    /// Text of the request's message.
     pub text: String,
-    /// Whether it carried a key.
+    /// `true` if the request carried an idempotency key.
     pub keyed: bool,
-    /// Every reply, in order of the tries.
+    /// Replies in the order of the attempts.
     pub replies: Vec<Reply>,
 }
 
-/// Everything callers saw.
-pub type Log = Arc<Mutex<Vec<Seen>>>;
+/// Requests and replies of all callers.
+pub type CallLog = Arc<Mutex<Vec<CallRecord>>>;
 
-/// The nodes that callers know; changes as nodes stop and start.
-pub type Nodes = Arc<Mutex<Vec<SocketAddr>>>;
+/// Caller addresses of the running nodes.
+pub type NodeAddresses = Arc<Mutex<Vec<SocketAddr>>>;
 
-/// What all programs of a run share.
+/// State shared by all programs of a run.
 #[derive(Clone)]
-pub struct World {
-    /// Client.
+pub struct RunContext {
+    /// Client that sends the requests.
     pub caller: Caller,
-    /// Nodes.
-    pub nodes: Nodes,
-    /// What callers saw.
-    pub log: Log,
+    /// NodeAddresses to send requests to.
+    pub nodes: NodeAddresses,
+    /// Requests and replies so far.
+    pub log: CallLog,
 }
 
-impl World {
-    /// The node that a turn goes through.
+impl RunContext {
+    /// Returns the node for a turn; an unreachable address if no node runs.
     pub fn node(&self, turn: usize) -> SocketAddr {
         match self.nodes.lock() {
             Ok(nodes) if !nodes.is_empty() => nodes[turn % nodes.len()],
@@ -53,77 +53,77 @@
         }
     }
 
-    /// Adds to the log.
-    pub fn note(&self, seen: Seen) {
+    /// Adds a call to the log.
+    pub fn record_call(&self, call: CallRecord) {
         if let Ok(mut log) = self.log.lock() {
-            log.push(seen);
+            log.push(call);
         }
     }
 
-    /// The log so far.
-    pub fn seen(&self) -> Vec<Seen> {
+    /// Returns a copy of the log.
+    pub fn calls(&self) -> Vec<CallRecord> {
         self.log.lock().map(|log| log.clone()).unwrap_or_default()
     }
 }
 
-/// One program of the demonstration.
+/// Parameters of a program.
 #[derive(Clone, Debug)]
 pub struct ProgramPlan {
-    /// Identifier.
+    /// Identifier of the program.
     pub id: String,
-    /// Kind.
+    /// Program kind, sent as the model's name.
     pub kind: String,
-    /// Turns.
+    /// Number of turns.
     pub turns: usize,
-    /// Pause between turns, as for a tool.
+    /// Pause between turns, in place of a tool call.
     pub tool_pause: Duration,
-    /// Every turn carries a key.
+    /// Sends an idempotency key with every turn if `true`.
     pub keyed: bool,
-    /// Starts a sub-agent after its first turn.
+    /// Runs a sub-agent after the first turn if `true`.
     pub sub_agent: bool,
 }
 
-/// Plays a program to its last turn.
-pub async fn play(world: World, plan: ProgramPlan) {
+/// Runs all turns of a program.
+pub async fn run_program(context: RunContext, plan: ProgramPlan) {
     for turn in 0..plan.turns {
         let text = format!("{} turn {turn}", plan.id);
-        let target = Target {
+        let target = TurnTarget {
             kind: &plan.kind,
             program: &plan.id,
             parent: None,
             keyed: plan.keyed,
         };
-        make_turn(&world, &target, &text, turn).await;
+        run_turn(&context, &target, &text, turn).await;
         if plan.sub_agent && turn == 0 {
-            play_sub_agent(&world, &plan).await;
+            run_sub_agent(&context, &plan).await;
         }
         tokio::time::sleep(plan.tool_pause).await;
     }
 }
 
-struct Target<'a> {
+struct TurnTarget<'a> {
     kind: &'a str,
     program: &'a str,
     parent: Option<&'a str>,
     keyed: bool,
 }
 
-async fn play_sub_agent(world: &World, plan: &ProgramPlan) {
+async fn run_sub_agent(context: &RunContext, plan: &ProgramPlan) {
     for turn in 0..2 {
         let text = format!("{}/helper turn {turn}", plan.id);
-        let target = Target {
+        let target = TurnTarget {
             kind: &plan.kind,
             program: "helper",
             parent: Some(&plan.id),
             keyed: false,
         };
-        make_turn(world, &target, &text, turn + 1).await;
+        run_turn(context, &target, &text, turn + 1).await;
     }
 }
 
-/// Makes one turn; a keyed one is asked again, with its key and through other
-/// nodes, until it has an answer that will not change.
-async fn make_turn(world: &World, target: &Target<'_>, text: &str, turn: usize) {
+/// Runs a turn. A turn with an idempotency key is retried through other nodes until
+/// its reply is final.
+async fn run_turn(context: &RunContext, target: &TurnTarget<'_>, text: &str, turn: usize) {
     let key = format!("key {text}");
     let plan = CallPlan {
         model: target.kind,
@@ -134,20 +134,20 @@
         stream: turn.is_multiple_of(2),
     };
     let mut replies = Vec::new();
-    for attempt in 0..TRIES {
-        let reply = world.caller.call(world.node(turn + attempt), &plan).await;
-        let retry = target.keyed && may_change(&reply);
+    for attempt in 0..MAX_ATTEMPTS {
+        let reply = context.caller.call(context.node(turn + attempt), &plan).await;
+        let is_retried = target.keyed && is_retryable(&reply);
         replies.push(reply);
-        if !retry {
+        if !is_retried {
             break;
         }
-        tokio::time::sleep(RETRY_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
     let program = match target.parent {
         Some(parent) => format!("{parent}/{}", target.program),
         None => target.program.to_owned(),
     };
-    world.note(Seen {
+    context.record_call(CallRecord {
         program,
         text: text.to_owned(),
         keyed: target.keyed,
@@ -155,8 +155,8 @@
     });
 }
 
-/// Whether asking again with the same key may bring another reply.
-fn may_change(reply: &Reply) -> bool {
+/// Returns `true` if a retry with the same key may get a different reply.
+fn is_retryable(reply: &Reply) -> bool {
     match reply {
         Reply::Answer(_) => false,
         Reply::Incomplete => true,
--- a/crates/stageyoke-lab/src/demo/scenario.rs
+++ b/crates/stageyoke-lab/src/demo/scenario.rs
@@ -1,4 +1,4 @@
-//! The course of the demonstration for one deployment.
+//! Scenario of the demonstration for one deployment.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -9,31 +9,31 @@
 use stageyoke_config::model::ProgramKind;
 
 use super::checks::{self, History};
-use super::programs::{Log, Nodes, ProgramPlan, SEQUENTIAL_PREFIX, Seen, World, play};
-use super::{Row, with_sample_key};
+use super::programs::{CallLog, NodeAddresses, ProgramPlan, SEQUENTIAL_PREFIX, CallRecord, RunContext, run_program};
+use super::{CheckResult, with_sample_key};
 use crate::caller::{CallPlan, Caller, Reply};
 use crate::cluster::{ClusterShape, LabCluster};
 use crate::standins::engine::{EngineTiming, RunRecord};
 
-/// Programs that run at once.
-const PROGRAMS: usize = 24;
-const TURNS: usize = 6;
+/// Number of programs that run at once.
+const PROGRAM_COUNT: usize = 24;
+const TURNS_PER_PROGRAM: usize = 6;
 const TOOL_PAUSE: Duration = Duration::from_millis(350);
-/// Time between the failures.
-const STAGE: Duration = Duration::from_millis(2_500);
-/// Longest time for engines to be rid of ended programs.
-const RELEASE_PATIENCE: Duration = Duration::from_secs(15);
-/// Time after which a leaving engine must get nothing new.
+/// Time between two failures.
+const FAILURE_INTERVAL: Duration = Duration::from_millis(2_500);
+/// Time limit for engines to release the cache of ended programs.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time after its report in which a leaving engine may still get new calls.
 const LEAVING_GRACE: Duration = Duration::from_secs(3);
-/// Node that is killed, node that drains.
-const KILLED: usize = 1;
-const DRAINED: usize = 2;
-const NODES: usize = 4;
+/// Index of the node that is killed.
+const KILLED_NODE: usize = 1;
+const DRAINED_NODE: usize = 2;
+const NODE_COUNT: usize = 4;
 
-/// Runs one deployment and gives the table's rows.
-pub async fn run(text: &str, tls: bool) -> miette::Result<Vec<Row>> {
+/// Runs one deployment and returns the results of all checks.
+pub async fn run(text: &str, tls: bool) -> miette::Result<Vec<CheckResult>> {
     let shape = ClusterShape {
-        nodes: NODES,
+        nodes: NODE_COUNT,
         durable_nodes: 2,
         engines: 8,
         replicas: 6,
@@ -43,7 +43,7 @@
     };
     let mut cluster = LabCluster::start(shape).await?;
     println!(
-        "  {NODES} nodes, 8 engines, mutual TLS {}",
+        "  {NODE_COUNT} nodes, 8 engines, mutual TLS {}",
         if tls { "on" } else { "off" }
     );
     let (text, key) = with_sample_key(&cluster.substitute_addresses(text));
@@ -51,23 +51,23 @@
     cluster.wait_for_leaders().await?;
     println!("  configuration {version} in force on every node; every shard has a leader");
     let config = stageyoke_config::check("example", &text)?.config;
-    let world = World {
+    let context = RunContext {
         caller: Caller::new(&key),
-        nodes: Nodes::default(),
-        log: Log::default(),
+        nodes: NodeAddresses::default(),
+        log: CallLog::default(),
     };
-    refresh_nodes(&cluster, &world);
-    let mut rows = vec![simultaneous_calls(&world, &config).await];
-    rows.push(budget(&world, &config, &cluster).await);
-    rows.push(routes(&world, &config).await);
-    let programs = start_programs(&world, &config);
-    rows.extend(failures(&mut cluster, &world, &text, version).await?);
+    refresh_nodes(&cluster, &context);
+    let mut rows = vec![check_simultaneous_calls(&context, &config).await];
+    rows.push(check_budget(&context, &config, &cluster).await);
+    rows.push(check_routes(&context, &config).await);
+    let programs = start_programs(&context, &config);
+    rows.extend(inject_failures(&mut cluster, &context, &text, version).await?);
     for program in programs {
         let _ = program.await;
     }
     println!("  all programs have made their last turn");
-    let seen = world.seen();
-    let histories = match read_histories(&world, &seen).await {
+    let calls = context.calls();
+    let histories = match read_histories(&context, &calls).await {
         Ok(histories) => histories,
         Err(error) => {
             eprintln!("{}", cluster.describe().await);
@@ -76,19 +76,19 @@
     };
     let runs = all_runs(&cluster);
     rows.extend([
-        checks::order(&seen, &histories),
-        checks::history(&seen, &histories),
-        checks::unmixed(&histories),
-        checks::whole_answers(&seen, &histories),
-        checks::at_most_once(&seen, &runs),
-        checks::not_run(&seen, &runs),
+        checks::check_call_order(&calls, &histories),
+        checks::check_histories_complete(&calls, &histories),
+        checks::check_histories_separate(&histories),
+        checks::check_answers(&calls, &histories),
+        checks::check_at_most_once(&calls, &runs),
+        checks::check_not_run_errors(&calls, &runs),
     ]);
-    rows.push(engine_memory(&world, &cluster, &histories).await);
+    rows.push(check_engine_caches(&context, &cluster, &histories).await);
     Ok(rows)
 }
 
-fn refresh_nodes(cluster: &LabCluster, world: &World) {
-    if let Ok(mut nodes) = world.nodes.lock() {
+fn refresh_nodes(cluster: &LabCluster, context: &RunContext) {
+    if let Ok(mut nodes) = context.nodes.lock() {
         *nodes = cluster.caller_addresses();
     }
 }
@@ -97,8 +97,9 @@
     &config.programs[0]
 }
 
-/// Two calls of one program at once through two nodes.
-async fn simultaneous_calls(world: &World, config: &Configuration) -> Row {
+/// Checks that two simultaneous calls of a program through two nodes both end up in
+/// its history.
+async fn check_simultaneous_calls(context: &RunContext, config: &Configuration) -> CheckResult {
     let kind = &first_kind(config).name;
     let plan = |text| CallPlan {
         model: kind,
@@ -108,48 +109,48 @@
     };
     let (left, right) = (plan("together left"), plan("together right"));
     let (first, second) = tokio::join!(
-        world.caller.call(world.node(0), &left),
-        world.caller.call(world.node(1), &right),
+        context.caller.call(context.node(0), &left),
+        context.caller.call(context.node(1), &right),
     );
     for (text, reply) in [(left.text, first), (right.text, second)] {
-        world.note(Seen {
+        context.record_call(CallRecord {
             program: "together".to_owned(),
             text: text.to_owned(),
             keyed: false,
             replies: vec![reply],
         });
     }
-    let shown = world
+    let shown = context
         .caller
-        .request_program(world.node(2), Method::GET, "together")
+        .request_program(context.node(2), Method::GET, "together")
         .await;
     let entries = shown.map_or(0, |(_, body)| {
         body["history"].as_array().map_or(0, Vec::len)
     });
-    Row {
-        promise: "two calls at once, one order",
+    CheckResult {
+        guarantee: "two calls at once, one order",
         held: entries == 4,
-        seen: format!("sent through two nodes; the history has {entries} messages"),
+        observed: format!("sent through two nodes; the history has {entries} messages"),
     }
 }
 
-/// A program that loops meets its limit and is told which.
-async fn budget(world: &World, config: &Configuration, cluster: &LabCluster) -> Row {
+/// Checks that a looping program is rejected once it has used its call budget.
+async fn check_budget(context: &RunContext, config: &Configuration, cluster: &LabCluster) -> CheckResult {
     let smallest = config
         .programs
         .iter()
         .filter(|kind| kind.limits.calls > 0)
         .min_by_key(|kind| kind.limits.calls);
     let Some(kind) = smallest else {
-        return Row {
-            promise: "budgets hold",
+        return CheckResult {
+            guarantee: "budgets hold",
             held: false,
-            seen: "no kind has a limit of calls".to_owned(),
+            observed: "no kind has a limit of calls".to_owned(),
         };
     };
     let limit = kind.limits.calls as usize;
     let calls = (0..limit + 6).map(|number| {
-        let world = world.clone();
+        let context = context.clone();
         let kind = kind.name.clone();
         tokio::spawn(async move {
             let text = format!("loop call {number}");
@@ -159,8 +160,8 @@
                 program: Some("loop"),
                 ..CallPlan::default()
             };
-            let reply = world.caller.call(world.node(number), &plan).await;
-            world.note(Seen {
+            let reply = context.caller.call(context.node(number), &plan).await;
+            context.record_call(CallRecord {
                 program: "loop".to_owned(),
                 text: text.clone(),
                 keyed: false,
@@ -169,136 +170,136 @@
             reply
         })
     });
-    let mut refused = 0;
+    let mut rejected = 0;
     for call in calls.collect::<Vec<_>>() {
         let reply = call.await.unwrap_or(Reply::Incomplete);
         let is_budget = matches!(&reply, Reply::Rejected { kind, .. } if kind == "budget_exceeded");
-        refused += usize::from(is_budget);
+        rejected += usize::from(is_budget);
     }
     let runs = all_runs(cluster);
-    let ran = runs
+    let executed = runs
         .iter()
         .filter(|run| run.program.ends_with(":loop"))
         .count();
-    Row {
-        promise: "budgets hold",
-        held: ran <= limit && refused >= 6,
-        seen: format!(
-            "{} calls at once, limit {limit}: {ran} ran, {refused} refused",
+    CheckResult {
+        guarantee: "budgets hold",
+        held: executed <= limit && rejected >= 6,
+        observed: format!(
+            "{} calls at once, limit {limit}: {executed} ran, {rejected} refused",
             limit + 6
         ),
     }
 }
 
-/// Requests passed through to application replicas.
-async fn routes(world: &World, config: &Configuration) -> Row {
+/// Checks that application requests reach the new and legacy pools as configured.
+async fn check_routes(context: &RunContext, config: &Configuration) -> CheckResult {
     let Some(route) = config.routes.first() else {
-        return Row {
-            promise: "application routes",
+        return CheckResult {
+            guarantee: "application routes",
             held: false,
-            seen: "no route".to_owned(),
+            observed: "no route".to_owned(),
         };
     };
-    let (mut fresh, mut legacy, mut failed) = (0, 0, 0);
+    let (mut new_pool, mut legacy, mut failed) = (0, 0, 0);
     for number in 0..100 {
         let path = format!("{}/item-{number}", route.prefix);
-        match world.caller.get(world.node(number), &path).await {
+        match context.caller.get(context.node(number), &path).await {
             Some((200, body)) if body.starts_with("legacy") => legacy += 1,
-            Some((200, _)) => fresh += 1,
+            Some((200, _)) => new_pool += 1,
             _ => failed += 1,
         }
     }
     let share = route.legacy_percent;
-    Row {
-        promise: "application routes",
+    CheckResult {
+        guarantee: "application routes",
         held: failed == 0 && (share == 0) == (legacy == 0),
-        seen: format!(
-            "100 requests: {fresh} new, {legacy} legacy (share {share}%), {failed} failed"
+        observed: format!(
+            "100 requests: {new_pool} new, {legacy} legacy (share {share}%), {failed} failed"
         ),
     }
 }
 
-fn start_programs(world: &World, config: &Configuration) -> Vec<tokio::task::JoinHandle<()>> {
+fn start_programs(context: &RunContext, config: &Configuration) -> Vec<tokio::task::JoinHandle<()>> {
     let nested = config.programs.iter().find(|kind| kind.limits.depth > 0);
     let mut handles = Vec::new();
-    for number in 0..PROGRAMS {
+    for number in 0..PROGRAM_COUNT {
         let kind = &config.programs[number % config.programs.len()];
         let sub_agent = nested.is_some_and(|nested| nested.name == kind.name);
         let plan = ProgramPlan {
             id: format!("{SEQUENTIAL_PREFIX}{number}"),
             kind: kind.name.clone(),
-            turns: TURNS,
+            turns: TURNS_PER_PROGRAM,
             tool_pause: TOOL_PAUSE,
             keyed: number.is_multiple_of(2),
             sub_agent,
         };
-        handles.push(tokio::spawn(play(world.clone(), plan)));
+        handles.push(tokio::spawn(run_program(context.clone(), plan)));
     }
-    println!("  {PROGRAMS} programs of {TURNS} turns started");
+    println!("  {PROGRAM_COUNT} programs of {TURNS_PER_PROGRAM} turns started");
     handles
 }
 
-/// The failures, one after another, while the programs run.
-async fn failures(
+/// Injects the failures one after another while the programs run.
+async fn inject_failures(
     cluster: &mut LabCluster,
-    world: &World,
+    context: &RunContext,
     text: &str,
     version: u64,
-) -> miette::Result<Vec<Row>> {
+) -> miette::Result<Vec<CheckResult>> {
     let mut rows = Vec::new();
-    tokio::time::sleep(STAGE).await;
-    let changed = text.replace("ageing_seconds = ", "ageing_seconds = 1");
-    cluster.key_value.lose_answers(1);
-    let accepted = cluster.submit_configuration(&changed).await?;
+    tokio::time::sleep(FAILURE_INTERVAL).await;
+    let changed_text = text.replace("ageing_seconds = ", "ageing_seconds = 1");
+    cluster.key_value.lose_next_answers(1);
+    let accepted = cluster.submit_configuration(&changed_text).await?;
     cluster.key_value.set_down(true);
     println!(
         "  configuration {accepted} accepted, its answer lost; the key-value service is down from here on"
     );
-    tokio::time::sleep(STAGE).await;
-    cluster.kill_node(KILLED);
-    refresh_nodes(cluster, world);
-    println!("  node-{KILLED} killed");
-    tokio::time::sleep(STAGE).await;
-    cluster.start_node(KILLED).await?;
-    refresh_nodes(cluster, world);
-    println!("  node-{KILLED} started again");
-    tokio::time::sleep(STAGE).await;
-    rows.push(drain(cluster, world).await);
-    cluster.start_node(DRAINED).await?;
-    refresh_nodes(cluster, world);
-    println!("  node-{DRAINED} started again");
-    rows.push(leaving_engine(cluster).await);
+    tokio::time::sleep(FAILURE_INTERVAL).await;
+    cluster.kill_node(KILLED_NODE);
+    refresh_nodes(cluster, context);
+    println!("  node-{KILLED_NODE} killed");
+    tokio::time::sleep(FAILURE_INTERVAL).await;
+    cluster.start_node(KILLED_NODE).await?;
+    refresh_nodes(cluster, context);
+    println!("  node-{KILLED_NODE} started again");
+    tokio::time::sleep(FAILURE_INTERVAL).await;
+    rows.push(drain(cluster, context).await);
+    cluster.start_node(DRAINED_NODE).await?;
+    refresh_nodes(cluster, context);
+    println!("  node-{DRAINED_NODE} started again");
+    rows.push(check_leaving_engine(cluster).await);
     cluster.wait_for_version(accepted).await?;
-    rows.push(Row {
-        promise: "configuration in force, never reverts",
+    rows.push(CheckResult {
+        guarantee: "configuration in force, never reverts",
         held: accepted > version,
-        seen: format!(
+        observed: format!(
             "version {accepted} on every node, also on those restarted during the outage"
         ),
     });
     Ok(rows)
 }
 
-/// A planned stop while its callers' requests are under way.
-async fn drain(cluster: &mut LabCluster, world: &World) -> Row {
-    let address = cluster.nodes[DRAINED]
+/// Checks that draining a node lets the requests in flight end.
+async fn drain(cluster: &mut LabCluster, context: &RunContext) -> CheckResult {
+    let address = cluster.nodes[DRAINED_NODE]
         .running
         .as_ref()
         .map(|node| node.caller_address);
     let Some(address) = address else {
-        return Row {
-            promise: "a planned stop cuts no request",
+        return CheckResult {
+            guarantee: "a planned stop cuts no request",
             held: false,
-            seen: "the node was not running".to_owned(),
+            observed: "the node was not running".to_owned(),
         };
     };
-    if let Ok(mut nodes) = world.nodes.lock() {
+    if let Ok(mut nodes) = context.nodes.lock() {
         nodes.retain(|node| *node != address);
     }
     let replies = Arc::new(Mutex::new(Vec::new()));
     let mut calls = Vec::new();
     for number in 0..12 {
-        let (world, replies) = (world.clone(), replies.clone());
+        let (context, replies) = (context.clone(), replies.clone());
         calls.push(tokio::spawn(async move {
             let text = format!("drained-{number} tokens:40");
             let program = format!("drained-{number}");
@@ -309,7 +310,7 @@
                 stream: true,
                 ..CallPlan::default()
             };
-            let kinds = world.caller.get(address, "/v1/models").await;
+            let kinds = context.caller.get(address, "/v1/models").await;
             let kind = kinds
                 .and_then(|(_, body)| first_model(&body))
                 .unwrap_or_default();
@@ -317,8 +318,8 @@
                 model: &kind,
                 ..plan
             };
-            let reply = world.caller.call(address, &plan).await;
-            world.note(Seen {
+            let reply = context.caller.call(address, &plan).await;
+            context.record_call(CallRecord {
                 program: program.clone(),
                 text: text.clone(),
                 keyed: false,
@@ -331,9 +332,9 @@
     }
     tokio::time::sleep(Duration::from_millis(250)).await;
     let started = Instant::now();
-    cluster.drain_node(DRAINED).await;
-    let took = started.elapsed();
-    println!("  node-{DRAINED} drained in {:.1} s", took.as_secs_f64());
+    cluster.drain_node(DRAINED_NODE).await;
+    let drain_time = started.elapsed();
+    println!("  node-{DRAINED_NODE} drained in {:.1} s", drain_time.as_secs_f64());
     for call in calls {
         let _ = call.await;
     }
@@ -341,16 +342,16 @@
         .lock()
         .map(|replies| replies.clone())
         .unwrap_or_default();
-    let whole = replies
+    let complete = replies
         .iter()
         .filter(|reply| reply.answer().is_some())
         .count();
-    Row {
-        promise: "a planned stop cuts no request",
-        held: whole == 12,
-        seen: format!(
-            "{whole} of 12 streams whole; stopped after {:.1} s",
-            took.as_secs_f64()
+    CheckResult {
+        guarantee: "a planned stop cuts no request",
+        held: complete == 12,
+        observed: format!(
+            "{complete} of 12 streams whole; stopped after {:.1} s",
+            drain_time.as_secs_f64()
         ),
     }
 }
@@ -360,26 +361,26 @@
     value["data"][0]["id"].as_str().map(str::to_owned)
 }
 
-/// An engine reports that it leaves.
-async fn leaving_engine(cluster: &LabCluster) -> Row {
+/// Checks that an engine gets no new calls after it reported that it is leaving.
+async fn check_leaving_engine(cluster: &LabCluster) -> CheckResult {
     let engine = &cluster.engines[0];
     engine.state.announce_leaving();
     let announced = Instant::now();
     println!("  an engine reported that it leaves");
-    tokio::time::sleep(LEAVING_GRACE + STAGE).await;
+    tokio::time::sleep(LEAVING_GRACE + FAILURE_INTERVAL).await;
     let runs = engine.state.runs();
-    let last = runs.iter().map(|run| run.at).max();
+    let last_arrival = runs.iter().map(|run| run.arrived_at).max();
     let late = runs
         .iter()
-        .filter(|run| run.at > announced + LEAVING_GRACE)
+        .filter(|run| run.arrived_at > announced + LEAVING_GRACE)
         .count();
-    let after = last.map_or(0.0, |at| {
+    let after = last_arrival.map_or(0.0, |at| {
         at.saturating_duration_since(announced).as_secs_f64()
     });
-    Row {
-        promise: "a leaving back end gets nothing new",
+    CheckResult {
+        guarantee: "a leaving back end gets nothing new",
         held: late == 0,
-        seen: format!("last new call {after:.1} s after its report, {late} after 3 s"),
+        observed: format!("last new call {after:.1} s after its report, {late} after 3 s"),
     }
 }
 
@@ -388,15 +389,15 @@
     engines.flat_map(|engine| engine.state.runs()).collect()
 }
 
-async fn read_histories(world: &World, seen: &[Seen]) -> miette::Result<Vec<History>> {
-    let mut programs: Vec<&str> = seen.iter().map(|call| call.program.as_str()).collect();
+async fn read_histories(context: &RunContext, calls: &[CallRecord]) -> miette::Result<Vec<History>> {
+    let mut programs: Vec<&str> = calls.iter().map(|call| call.program.as_str()).collect();
     programs.sort_unstable();
     programs.dedup();
     let mut histories = Vec::new();
     for (number, program) in programs.into_iter().enumerate() {
-        let shown = world
+        let shown = context
             .caller
-            .request_program(world.node(number), Method::GET, program)
+            .request_program(context.node(number), Method::GET, program)
             .await;
         match shown {
             Some((200, body)) => histories.push(History::of(program, &body)),
@@ -408,30 +409,30 @@
     Ok(histories)
 }
 
-/// All programs are ended; soon no engine holds anything for them.
-async fn engine_memory(world: &World, cluster: &LabCluster, histories: &[History]) -> Row {
+/// Ends all programs and checks that the engines release their caches in time.
+async fn check_engine_caches(context: &RunContext, cluster: &LabCluster, histories: &[History]) -> CheckResult {
     for (number, history) in histories.iter().enumerate() {
-        world
+        context
             .caller
-            .request_program(world.node(number), Method::DELETE, &history.program)
+            .request_program(context.node(number), Method::DELETE, &history.program)
             .await;
     }
-    let held = || -> usize {
+    let count_cached_programs = || -> usize {
         let engines = cluster.engines.iter();
         engines
             .map(|engine| engine.state.cached_programs().len())
             .sum()
     };
     let started = Instant::now();
-    while held() > 0 && started.elapsed() < RELEASE_PATIENCE {
+    while count_cached_programs() > 0 && started.elapsed() < RELEASE_TIMEOUT {
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    let rest = held();
-    Row {
-        promise: "no engine memory for ended programs",
-        held: rest == 0,
-        seen: format!(
-            "{} programs ended; {rest} still held after {:.1} s",
+    let still_cached = count_cached_programs();
+    CheckResult {
+        guarantee: "no engine memory for ended programs",
+        held: still_cached == 0,
+        observed: format!(
+            "{} programs ended; {still_cached} still held after {:.1} s",
             histories.len(),
             started.elapsed().as_secs_f64()
         ),
--- a/crates/stageyoke-lab/src/lib.rs
+++ b/crates/stageyoke-lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! The laboratory: stand-ins for the platform's services, a demonstration
-//! cluster of real nodes on loopback sockets, load, experiments and scale runs.
+//! Laboratory for running stageyoke against stand-ins of external systems: test
+//! clusters on loopback sockets, demonstration, load measurements and soak runs.
 
 pub mod caller;
 pub mod cluster;
--- a/crates/stageyoke-lab/src/load.rs
+++ b/crates/stageyoke-lab/src/load.rs
@@ -1,5 +1,5 @@
-//! Measures what the path through a node costs, against direct calls to the
-//! same stand-in in the same run.
+//! Measures the cost of the path through a node, compared with direct calls to the
+//! same stand-in engine in the same run.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,24 +19,24 @@
 use crate::demo::with_sample_key;
 use crate::process::{cpu_time, resident_bytes};
 
-/// Programs made to measure the memory of an idle one.
+/// Programs created to measure the memory of an idle program.
 const IDLE_PROGRAMS: u64 = 4_000;
-/// Calls before anything is measured.
-const WARM_UP: u64 = 300;
+/// Calls before the measurements start.
+const WARM_UP_CALLS: u64 = 300;
 const CONFIG: &str = include_str!("../../../examples/flood-warning.toml");
 
-/// What to run.
+/// Parameters of a load run.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
-    /// Calls in each part.
+    /// Calls per part of the run.
     pub calls: u64,
-    /// Calls under way at once.
+    /// Calls in flight at once.
     pub concurrency: usize,
-    /// Cluster.
+    /// Cluster to measure.
     pub shape: ClusterShape,
 }
 
-/// What was measured.
+/// Measurements of a run; times in microseconds.
 #[derive(Debug, Serialize)]
 struct LoadReport {
     direct_p50_us: u64,
@@ -54,7 +54,7 @@
     resident_mebibytes: u64,
 }
 
-/// Runs the measurement and prints it.
+/// Runs the measurements and prints them.
 pub async fn run(plan: LoadPlan, as_json: bool) -> miette::Result<()> {
     let cluster = LabCluster::start(plan.shape.clone()).await?;
     let (text, key) = with_sample_key(&cluster.substitute_addresses(CONFIG));
@@ -68,37 +68,39 @@
         .ok_or_else(|| miette!("no node runs"))?;
     let engine = cluster.engines[0].server.address;
     let caller = Caller::new(&key);
-    let direct = Direct::new();
-    for _ in 0..WARM_UP {
+    let direct = DirectClient::new();
+    for _ in 0..WARM_UP_CALLS {
         direct.call(engine).await;
-        one_call(&caller, node, None).await;
+        call_node(&caller, node, None).await;
     }
-    let (direct_times, path_times) = one_by_one(&plan, &direct, engine, &caller, node).await?;
-    let busy = many_at_once(&plan, &caller, node).await?;
-    let bytes_per_idle_program = idle_programs(&caller, node).await;
+    let (direct_latencies, path_latencies) =
+        measure_sequential_calls(&plan, &direct, engine, &caller, node).await?;
+    let concurrent = measure_concurrent_calls(&plan, &caller, node).await?;
+    let bytes_per_idle_program = measure_idle_program_bytes(&caller, node).await;
     let added = |quantile: f64| {
-        let path = path_times.value_at_quantile(quantile);
-        path.saturating_sub(direct_times.value_at_quantile(quantile))
+        let path = path_latencies.value_at_quantile(quantile);
+        path.saturating_sub(direct_latencies.value_at_quantile(quantile))
     };
     let report = LoadReport {
-        direct_p50_us: direct_times.value_at_quantile(0.5),
-        direct_p99_us: direct_times.value_at_quantile(0.99),
-        path_p50_us: path_times.value_at_quantile(0.5),
-        path_p99_us: path_times.value_at_quantile(0.99),
+        direct_p50_us: direct_latencies.value_at_quantile(0.5),
+        direct_p99_us: direct_latencies.value_at_quantile(0.99),
+        path_p50_us: path_latencies.value_at_quantile(0.5),
+        path_p99_us: path_latencies.value_at_quantile(0.99),
         added_p50_us: added(0.5),
         added_p99_us: added(0.99),
-        calls_per_second: busy.calls as f64 / busy.elapsed.as_secs_f64(),
-        calls_per_cpu_second: busy.calls as f64 / busy.cpu.as_secs_f64().max(f64::EPSILON),
-        throughput_p50_us: busy.times.value_at_quantile(0.5),
-        throughput_p99_us: busy.times.value_at_quantile(0.99),
-        failed: busy.failed,
+        calls_per_second: concurrent.calls as f64 / concurrent.elapsed.as_secs_f64(),
+        calls_per_cpu_second: concurrent.calls as f64
+            / concurrent.cpu.as_secs_f64().max(f64::EPSILON),
+        throughput_p50_us: concurrent.times.value_at_quantile(0.5),
+        throughput_p99_us: concurrent.times.value_at_quantile(0.99),
+        failed: concurrent.failed,
         bytes_per_idle_program,
         resident_mebibytes: resident_bytes() >> 20,
     };
-    print(&report, as_json)
+    print_report(&report, as_json)
 }
 
-fn print(report: &LoadReport, as_json: bool) -> miette::Result<()> {
+fn print_report(report: &LoadReport, as_json: bool) -> miette::Result<()> {
     if as_json {
         println!(
             "{}",
@@ -135,14 +137,14 @@
     Ok(())
 }
 
-/// Calls straight to an engine, in its own protocol.
+/// Client that calls an engine directly in the engine protocol.
 #[derive(Clone)]
-struct Direct {
+struct DirectClient {
     http: HttpClient,
     count: Arc<AtomicU64>,
 }
 
-impl Direct {
+impl DirectClient {
     fn new() -> Self {
         Self {
             http: http_client(),
@@ -179,7 +181,7 @@
     }
 }
 
-async fn one_call(caller: &Caller, node: SocketAddr, program: Option<&str>) -> bool {
+async fn call_node(caller: &Caller, node: SocketAddr, program: Option<&str>) -> bool {
     let plan = CallPlan {
         model: "gauge-query",
         text: "a short question",
@@ -194,32 +196,32 @@
     Histogram::new(3).into_diagnostic()
 }
 
-/// One call at a time, in turn straight and through a node, so that both see
-/// the same machine.
-async fn one_by_one(
+/// Measures one call at a time, alternating between direct calls and calls through
+/// a node, so that both run under the same conditions.
+async fn measure_sequential_calls(
     plan: &LoadPlan,
-    direct: &Direct,
+    direct: &DirectClient,
     engine: SocketAddr,
     caller: &Caller,
     node: SocketAddr,
 ) -> miette::Result<(Histogram<u64>, Histogram<u64>)> {
-    let (mut direct_times, mut path_times) = (histogram()?, histogram()?);
+    let (mut direct_latencies, mut path_latencies) = (histogram()?, histogram()?);
     for _ in 0..plan.calls {
         let started = Instant::now();
         direct.call(engine).await;
-        record(&mut direct_times, started.elapsed())?;
+        record(&mut direct_latencies, started.elapsed())?;
         let started = Instant::now();
-        one_call(caller, node, None).await;
-        record(&mut path_times, started.elapsed())?;
+        call_node(caller, node, None).await;
+        record(&mut path_latencies, started.elapsed())?;
     }
-    Ok((direct_times, path_times))
+    Ok((direct_latencies, path_latencies))
 }
 
 fn record(times: &mut Histogram<u64>, elapsed: Duration) -> miette::Result<()> {
     times.record(elapsed.as_micros() as u64).into_diagnostic()
 }
 
-struct Busy {
+struct ConcurrentCalls {
     calls: u64,
     failed: u64,
     elapsed: Duration,
@@ -227,38 +229,43 @@
     times: Histogram<u64>,
 }
 
-async fn many_at_once(plan: &LoadPlan, caller: &Caller, node: SocketAddr) -> miette::Result<Busy> {
-    let left = Arc::new(AtomicU64::new(plan.calls * 4));
+async fn measure_concurrent_calls(
+    plan: &LoadPlan,
+    caller: &Caller,
+    node: SocketAddr,
+) -> miette::Result<ConcurrentCalls> {
+    let remaining = Arc::new(AtomicU64::new(plan.calls * 4));
     let (started, cpu) = (Instant::now(), cpu_time());
     let mut workers = Vec::new();
     for _ in 0..plan.concurrency {
-        let (left, caller) = (left.clone(), caller.clone());
+        let (remaining, caller) = (remaining.clone(), caller.clone());
         workers.push(tokio::spawn(async move {
             let mut times = Vec::new();
             let mut failed = 0_u64;
-            let takes_one = |left: &AtomicU64| {
-                let taken = left.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |count| {
-                    count.checked_sub(1)
-                });
-                taken.is_ok()
+            let claim_call = |remaining: &AtomicU64| {
+                let claimed =
+                    remaining.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |count| {
+                        count.checked_sub(1)
+                    });
+                claimed.is_ok()
             };
-            while takes_one(&left) {
-                let begun = Instant::now();
-                failed += u64::from(!one_call(&caller, node, None).await);
-                times.push(begun.elapsed());
+            while claim_call(&remaining) {
+                let call_started = Instant::now();
+                failed += u64::from(!call_node(&caller, node, None).await);
+                times.push(call_started.elapsed());
             }
             (times, failed)
         }));
     }
     let (mut times, mut failed) = (histogram()?, 0);
     for worker in workers {
-        let (own_times, own_failed) = worker.await.into_diagnostic()?;
-        failed += own_failed;
-        for time in own_times {
+        let (worker_times, worker_failed) = worker.await.into_diagnostic()?;
+        failed += worker_failed;
+        for time in worker_times {
             record(&mut times, time)?;
         }
     }
-    Ok(Busy {
+    Ok(ConcurrentCalls {
         calls: plan.calls * 4,
         failed,
         elapsed: started.elapsed(),
@@ -267,12 +274,12 @@
     })
 }
 
-/// Memory that each program takes between its calls, over the whole process.
-async fn idle_programs(caller: &Caller, node: SocketAddr) -> u64 {
+/// Measures the memory that an idle program takes in the whole process, in bytes.
+async fn measure_idle_program_bytes(caller: &Caller, node: SocketAddr) -> u64 {
     let before = resident_bytes();
     for number in 0..IDLE_PROGRAMS {
         let program = format!("idle-{number}");
-        one_call(caller, node, Some(&program)).await;
+        call_node(caller, node, Some(&program)).await;
     }
     resident_bytes().saturating_sub(before) / IDLE_PROGRAMS
 }
--- a/crates/stageyoke-lab/src/soak/faults.rs
+++ b/crates/stageyoke-lab/src/soak/faults.rs
@@ -301,7 +301,7 @@
                 .service
                 .lost_answer_percent
                 .store(60, Ordering::Relaxed),
-            _ => self.service.forget_history(),
+            _ => self.service.compact_history(),
         }
         tokio::time::sleep(lasting).await;
         self.service.down.store(false, Ordering::Relaxed);
--- a/crates/stageyoke-lab/src/standins/application.rs
+++ b/crates/stageyoke-lab/src/standins/application.rs
@@ -1,5 +1,5 @@
-//! A stand-in for an application replica: answers with its name, the method,
-//! the path and the body it got.
+//! Stand-in for an application replica: answers with its name and the method,
+//! path and body length of the request.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,30 +11,30 @@
 
 use super::{Handler, respond};
 
-/// One replica.
+/// Application replica.
 pub struct ApplicationStandIn {
     name: String,
-    requests: AtomicU64,
+    request_count: AtomicU64,
 }
 
 impl ApplicationStandIn {
-    /// A replica with a name.
+    /// Creates a replica that answers with this name.
     pub fn new(name: &str) -> Self {
         Self {
             name: name.to_owned(),
-            requests: AtomicU64::new(0),
+            request_count: AtomicU64::new(0),
         }
     }
 
-    /// Requests so far.
+    /// Number of requests received.
     pub fn requests(&self) -> u64 {
-        self.requests.load(Ordering::Relaxed)
+        self.request_count.load(Ordering::Relaxed)
     }
 }
 
 impl Handler for ApplicationStandIn {
     async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
-        self.requests.fetch_add(1, Ordering::Relaxed);
+        self.request_count.fetch_add(1, Ordering::Relaxed);
         let (method, path) = (request.method().clone(), request.uri().path().to_owned());
         let body = request.into_body().collect().await;
         let length = body.map_or(0, |body| body.to_bytes().len());
--- a/crates/stageyoke-lab/src/standins/engine.rs
+++ b/crates/stageyoke-lab/src/standins/engine.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a model engine: the batching model of the emulator behind
-//! the engine's HTTP protocol (`docs/ENGINE.md`).
+//! Stand-in for a model engine: the simulator's batching model behind the engine's
+//! HTTP protocol (`docs/ENGINE.md`).
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -27,30 +27,30 @@
 use super::text::{PromptMessage, answer_length, answer_token, count_tokens, prompt_digest};
 use super::{Handler, StandInServer, read_json, respond, respond_json, serve};
 
-/// One run of a call, as the engine saw it.
+/// Attempt that the engine accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunRecord {
-    /// Program.
+    /// Name of the program.
     pub program: String,
-    /// Position in the program.
-    pub call: u32,
-    /// The node's name for the request.
+    /// Number of the call within its program.
+    pub call_number: u32,
+    /// Request identifier given by the node.
     pub request: String,
-    /// Try.
+    /// Number of the attempt.
     pub attempt: u32,
-    /// Text of the last message.
+    /// Text of the prompt's last message.
     pub last_message: String,
-    /// When it arrived.
-    pub at: Instant,
+    /// Time at which the attempt arrived.
+    pub arrived_at: Instant,
 }
 
-/// State of a stand-in engine.
+/// State of a stand-in engine, shared by its server and its step loop.
 pub struct EngineStandIn {
     model: Mutex<Model>,
-    work: Notify,
+    work_available: Notify,
     leaving: AtomicBool,
     started: Instant,
-    instant: bool,
+    answers_at_once: bool,
 }
 
 struct Model {
@@ -60,20 +60,20 @@
     runs: Vec<RunRecord>,
 }
 
-/// Speed at which a stand-in engine runs.
+/// Timing of a stand-in engine's answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EngineTiming {
-    /// As the model of continuous batching says.
+    /// Follow the model of continuous batching.
     Modelled(EngineSpeed),
-    /// Every token at once, to measure the path alone.
+    /// Send all tokens at once, so that only the path through the nodes takes time.
     Instant,
 }
 
 /// A running stand-in engine.
 pub struct RunningEngine {
-    /// Its state, for tests and tables.
+    /// State, for inspection by tests and checks.
     pub state: Arc<EngineStandIn>,
-    /// Its server.
+    /// HTTP server.
     pub server: StandInServer,
     stepper: tokio::task::AbortHandle,
 }
@@ -84,7 +84,7 @@
     }
 }
 
-/// Starts an engine.
+/// Starts an engine on a free loopback port.
 pub async fn start(timing: EngineTiming) -> std::io::Result<RunningEngine> {
     let speed = match timing {
         EngineTiming::Modelled(speed) => speed,
@@ -100,10 +100,10 @@
             attempts: BTreeMap::new(),
             runs: Vec::new(),
         }),
-        work: Notify::new(),
+        work_available: Notify::new(),
         leaving: AtomicBool::new(false),
         started: Instant::now(),
-        instant: timing == EngineTiming::Instant,
+        answers_at_once: timing == EngineTiming::Instant,
     });
     let server = serve(state.clone(), None).await?;
     let stepper = tokio::spawn(run_steps(state.clone())).abort_handle();
@@ -114,12 +114,13 @@
     })
 }
 
-/// Runs the model's steps in real time.
+/// Runs the batching model's steps in real time and sends the progress to the
+/// waiting calls.
 async fn run_steps(engine: Arc<EngineStandIn>) {
     loop {
         let (duration, progress) = {
             let now = engine.now();
-            let mut model = engine.model();
+            let mut model = engine.lock_model();
             if model.batch.is_idle() {
                 (0, None)
             } else {
@@ -128,24 +129,24 @@
             }
         };
         let Some(progress) = progress else {
-            engine.work.notified().await;
+            engine.work_available.notified().await;
             continue;
         };
         tokio::time::sleep(Duration::from_millis(duration)).await;
-        let mut model = engine.model();
-        for item in progress {
-            if let Some(output) = model.outputs.get(&item.id) {
-                let _ = output.send(item.generated);
+        let mut model = engine.lock_model();
+        for call_progress in progress {
+            if let Some(progress_sender) = model.outputs.get(&call_progress.id) {
+                let _ = progress_sender.send(call_progress.generated);
             }
-            if item.finished {
-                model.outputs.remove(&item.id);
+            if call_progress.finished {
+                model.outputs.remove(&call_progress.id);
             }
         }
     }
 }
 
 impl EngineStandIn {
-    fn model(&self) -> MutexGuard<'_, Model> {
+    fn lock_model(&self) -> MutexGuard<'_, Model> {
         match self.model.lock() {
             Ok(model) => model,
             Err(poisoned) => poisoned.into_inner(),
@@ -156,19 +157,19 @@
         self.started.elapsed().as_millis() as Time
     }
 
-    /// Announces that the engine leaves.
+    /// Reports in the following load reports that the engine is leaving.
     pub fn announce_leaving(&self) {
         self.leaving.store(true, Ordering::Relaxed);
     }
 
-    /// Every run so far.
+    /// Returns all accepted attempts, in order of arrival.
     pub fn runs(&self) -> Vec<RunRecord> {
-        self.model().runs.clone()
+        self.lock_model().runs.clone()
     }
 
-    /// Programs with cached tokens.
+    /// Returns the names of the programs that have cached tokens.
     pub fn cached_programs(&self) -> Vec<String> {
-        self.model()
+        self.lock_model()
             .batch
             .cached_programs()
             .map(program_name)
@@ -183,19 +184,20 @@
             return respond(StatusCode::BAD_REQUEST, "malformed program");
         };
         let identity = request.stageyoke.clone();
-        if !self.take_up(&request, &identity) {
+        if !self.record_attempt(&request, &identity) {
             return respond(StatusCode::CONFLICT, "a later attempt is known");
         }
-        let (sender, body) = pieces::channel::<Infallible>(CHUNKS_WAITING);
+        let (sender, body) = pieces::channel::<Infallible>(MAX_BUFFERED_CHUNKS);
         tokio::spawn(self.clone().generate(request, program, sender));
         Response::new(body.map_err(|never| match never {}).boxed())
     }
 
-    /// Notes a run, unless its attempt is not later than one already seen.
-    fn take_up(&self, request: &CompletionRequest, identity: &CallIdentity) -> bool {
-        let mut model = self.model();
-        let seen = model.attempts.get(&identity.request).copied().unwrap_or(0);
-        if identity.attempt <= seen {
+    /// Records an attempt; returns `false` if the same or a later attempt of the
+    /// request is already known.
+    fn record_attempt(&self, request: &CompletionRequest, identity: &CallIdentity) -> bool {
+        let mut model = self.lock_model();
+        let latest = model.attempts.get(&identity.request).copied().unwrap_or(0);
+        if identity.attempt <= latest {
             return false;
         }
         model
@@ -204,11 +206,11 @@
         let last_message = request.messages.last();
         let run = RunRecord {
             program: identity.program.clone(),
-            call: identity.call,
+            call_number: identity.call,
             request: identity.request.clone(),
             attempt: identity.attempt,
             last_message: last_message.map_or(String::new(), |message| message.content.clone()),
-            at: Instant::now(),
+            arrived_at: Instant::now(),
         };
         model.runs.push(run);
         true
@@ -239,19 +241,21 @@
             prompt_tokens,
             completion_tokens: length,
         };
-        if self.instant {
-            let rest: String = (skip..length).map(|at| answer_token(digest, at)).collect();
-            if send_text(&mut sender, rest).await.is_ok() {
-                let _ = send_end(&mut sender, usage).await;
+        if self.answers_at_once {
+            let text: String = (skip..length)
+                .map(|position| answer_token(digest, position))
+                .collect();
+            if send_text(&mut sender, text).await.is_ok() {
+                let _ = send_final_chunks(&mut sender, usage).await;
             }
             return;
         }
         let id = attempt_id(&request.stageyoke);
-        let (output, mut tokens) = mpsc::unbounded_channel();
+        let (progress_sender, mut progress) = mpsc::unbounded_channel();
         {
             let now = self.now();
-            let mut model = self.model();
-            model.outputs.insert(id, output);
+            let mut model = self.lock_model();
+            model.outputs.insert(id, progress_sender);
             let call = EngineCall {
                 program,
                 prompt_tokens: prompt_tokens + skip,
@@ -260,35 +264,35 @@
             };
             model.batch.submit(id, call, now);
         }
-        self.work.notify_one();
-        while let Some(generated) = tokens.recv().await {
+        self.work_available.notify_one();
+        while let Some(generated) = progress.recv().await {
             let position = skip + generated - 1;
             if position >= length {
                 break;
             }
             let text = answer_token(digest, position);
             if send_text(&mut sender, text).await.is_err() {
-                self.stop(id);
+                self.cancel(id);
                 return;
             }
             if position + 1 == length {
                 break;
             }
         }
-        if self.model().outputs.contains_key(&id) {
-            self.stop(id);
+        if self.lock_model().outputs.contains_key(&id) {
+            self.cancel(id);
         }
-        let _ = send_end(&mut sender, usage).await;
+        let _ = send_final_chunks(&mut sender, usage).await;
     }
 
-    fn stop(&self, id: AttemptId) {
-        let mut model = self.model();
+    fn cancel(&self, id: AttemptId) {
+        let mut model = self.lock_model();
         model.batch.cancel(id);
         model.outputs.remove(&id);
     }
 
-    fn report(&self) -> LoadReport {
-        let model = self.model();
+    fn load_report(&self) -> LoadReport {
+        let model = self.lock_model();
         LoadReport {
             leaving: self.leaving.load(Ordering::Relaxed),
             running: model.batch.running_count() as u64,
@@ -300,8 +304,8 @@
     }
 }
 
-/// Chunks that may wait for a slow reader.
-const CHUNKS_WAITING: usize = 64;
+/// Number of chunks buffered for a slow reader.
+const MAX_BUFFERED_CHUNKS: usize = 64;
 
 fn attempt_id(identity: &CallIdentity) -> AttemptId {
     AttemptId {
@@ -311,9 +315,12 @@
     }
 }
 
-struct ReaderGone;
+struct ReaderDisconnected;
 
-async fn send_text(sender: &mut PieceSender<Infallible>, text: String) -> Result<(), ReaderGone> {
+async fn send_text(
+    sender: &mut PieceSender<Infallible>,
+    text: String,
+) -> Result<(), ReaderDisconnected> {
     let chunk = Chunk {
         choices: vec![ChunkChoice {
             index: 0,
@@ -327,10 +334,10 @@
     send_event(sender, &chunk).await
 }
 
-async fn send_end(
+async fn send_final_chunks(
     sender: &mut PieceSender<Infallible>,
     usage: WireUsage,
-) -> Result<(), ReaderGone> {
+) -> Result<(), ReaderDisconnected> {
     let chunk = Chunk {
         choices: vec![ChunkChoice {
             index: 0,
@@ -346,24 +353,27 @@
 async fn send_event(
     sender: &mut PieceSender<Infallible>,
     body: &impl Serialize,
-) -> Result<(), ReaderGone> {
+) -> Result<(), ReaderDisconnected> {
     let json = serde_json::to_string(body).unwrap_or_default();
     send(sender, format!("data: {json}\n\n")).await
 }
 
-async fn send(sender: &mut PieceSender<Infallible>, text: String) -> Result<(), ReaderGone> {
+async fn send(
+    sender: &mut PieceSender<Infallible>,
+    text: String,
+) -> Result<(), ReaderDisconnected> {
     let sent = sender.send_data(Bytes::from(text)).await;
-    sent.map_err(|_| ReaderGone)
+    sent.map_err(|_| ReaderDisconnected)
 }
 
 impl Handler for EngineStandIn {
     async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         match (request.method(), request.uri().path()) {
             (&Method::POST, COMPLETIONS_PATH) => self.complete(request).await,
-            (&Method::GET, LOAD_PATH) => respond_json(&self.report()),
+            (&Method::GET, LOAD_PATH) => respond_json(&self.load_report()),
             (&Method::POST, CANCEL_PATH) => {
                 if let Some(cancel) = read_json::<CancelRequest>(request).await {
-                    self.stop(AttemptId {
+                    self.cancel(AttemptId {
                         gateway: NodeId(0),
                         request: RequestId(hash::of_text(&cancel.request)),
                         attempt: Attempt(cancel.attempt),
@@ -375,7 +385,7 @@
                 let release = read_json::<ReleaseRequest>(request).await;
                 if let Some(program) = release.and_then(|release| program_key(&release.program)) {
                     let now = self.now();
-                    self.model().batch.release(&program, now);
+                    self.lock_model().batch.release(&program, now);
                 }
                 respond(StatusCode::OK, "{}")
             }
--- a/crates/stageyoke-lab/src/standins/key_value.rs
+++ b/crates/stageyoke-lab/src/standins/key_value.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the key-value service: the JSON form of etcd's version 3
-//! range and transaction calls, with outages and lost answers on demand.
+//! Stand-in for the key-value service: the JSON gateway form of etcd v3's range
+//! and transaction calls, with outages and lost answers on demand.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -13,13 +13,13 @@
 
 use super::{Handler, read_json, respond, respond_json};
 
-/// State of the service.
+/// In-memory key-value service.
 #[derive(Default)]
 pub struct KeyValueStandIn {
     data: Mutex<Data>,
     down: AtomicBool,
-    lose_answers: AtomicU64,
-    requests: AtomicU64,
+    lose_next_answers: AtomicU64,
+    request_count: AtomicU64,
 }
 
 #[derive(Default)]
@@ -64,14 +64,14 @@
         self.down.store(down, Ordering::Relaxed);
     }
 
-    /// Loses the answers of the next writes after they took effect.
-    pub fn lose_answers(&self, count: u64) {
-        self.lose_answers.store(count, Ordering::Relaxed);
+    /// Drops the answers of the next `count` writes after applying them.
+    pub fn lose_next_answers(&self, count: u64) {
+        self.lose_next_answers.store(count, Ordering::Relaxed);
     }
 
-    /// Requests so far.
+    /// Number of requests received.
     pub fn requests(&self) -> u64 {
-        self.requests.load(Ordering::Relaxed)
+        self.request_count.load(Ordering::Relaxed)
     }
 
     fn range(&self, request: &RangeRequest) -> Response<Body> {
@@ -95,28 +95,28 @@
         let Ok(mut data) = self.data.lock() else {
             return respond(StatusCode::INTERNAL_SERVER_ERROR, "");
         };
-        let holds = request.compare.iter().all(|compare| {
+        let conditions_hold = request.compare.iter().all(|compare| {
             let revision = data
                 .values
                 .get(&compare.key)
                 .map_or(0, |(_, revision)| *revision);
             compare.mod_revision == revision.to_string()
         });
-        if holds {
+        if conditions_hold {
             data.revision += 1;
             let revision = data.revision;
             for operation in request.success {
                 let put = operation.request_put;
                 data.values.insert(put.key, (put.value, revision));
             }
-            if self.takes_one(&self.lose_answers) {
+            if self.consume_one(&self.lose_next_answers) {
                 return respond(StatusCode::SERVICE_UNAVAILABLE, "answer lost");
             }
         }
-        respond_json(&json!({ "succeeded": holds }))
+        respond_json(&json!({ "succeeded": conditions_hold }))
     }
 
-    fn takes_one(&self, counter: &AtomicU64) -> bool {
+    fn consume_one(&self, counter: &AtomicU64) -> bool {
         counter
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |count| {
                 count.checked_sub(1)
@@ -127,7 +127,7 @@
 
 impl Handler for KeyValueStandIn {
     async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
-        self.requests.fetch_add(1, Ordering::Relaxed);
+        self.request_count.fetch_add(1, Ordering::Relaxed);
         if self.down.load(Ordering::Relaxed) {
             return respond(StatusCode::SERVICE_UNAVAILABLE, "outage");
         }
--- a/crates/stageyoke-lab/src/standins/machine_list.rs
+++ b/crates/stageyoke-lab/src/standins/machine_list.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the platform's list of machines. It lags: what it says is
-//! what was set, not what is.
+//! Stand-in for the platform's machine list. It returns whatever was set last,
+//! which may differ from the machines that are running.
 
 use std::sync::{Arc, Mutex};
 
@@ -10,26 +10,26 @@
 
 use super::{Handler, respond, respond_json};
 
-/// A machine as listed.
+/// Entry of the machine list.
 #[derive(Clone, Debug, Serialize)]
 pub struct ListedMachine {
-    /// IP address and port for other nodes.
+    /// IP address and port that other nodes connect to.
     pub address: String,
-    /// It will go away.
+    /// `true` if the platform plans to take the machine away.
     pub leaving: bool,
 }
 
-/// The list.
+/// In-memory machine list.
 #[derive(Default)]
 pub struct MachineListStandIn {
     machines: Mutex<Vec<ListedMachine>>,
 }
 
 impl MachineListStandIn {
-    /// Replaces the list.
-    pub fn set(&self, machines: Vec<ListedMachine>) {
-        if let Ok(mut current) = self.machines.lock() {
-            *current = machines;
+    /// Replaces all entries.
+    pub fn set_machines(&self, machines: Vec<ListedMachine>) {
+        if let Ok(mut listed) = self.machines.lock() {
+            *listed = machines;
         }
     }
 }
--- a/crates/stageyoke-lab/src/standins/mod.rs
+++ b/crates/stageyoke-lab/src/standins/mod.rs
@@ -1,4 +1,4 @@
-//! Small stand-ins for outside systems, each behind its published protocol.
+//! Stand-ins for external systems, each serving that system's published protocol.
 
 pub mod application;
 pub mod engine;
@@ -22,10 +22,10 @@
 use tokio::net::TcpListener;
 use tokio::task::{AbortHandle, JoinSet};
 
-/// A stand-in's HTTP server. It stops at once when dropped, with its
-/// connections, as a killed process would.
+/// HTTP server of a stand-in. Dropping it closes the listener and all
+/// connections at once, like a killed process.
 pub struct StandInServer {
-    /// Where it listens.
+    /// Address that the server listens on.
     pub address: SocketAddr,
     task: AbortHandle,
 }
@@ -36,7 +36,7 @@
     }
 }
 
-/// Handles a stand-in's requests.
+/// Request handler of a stand-in.
 pub trait Handler: Send + Sync + 'static {
     /// Answers one request.
     fn handle(
@@ -45,7 +45,7 @@
     ) -> impl Future<Output = Response<Body>> + Send;
 }
 
-/// Serves on a loopback port given by the system, or on a given one again.
+/// Serves on the given address, or on a free loopback port if there is none.
 pub async fn serve<H: Handler>(
     handler: Arc<H>,
     address: Option<SocketAddr>,
@@ -53,12 +53,12 @@
     let address = address.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0)));
     let listener = TcpListener::bind(address).await?;
     let address = listener.local_addr()?;
-    let task = tokio::spawn(accept(handler, listener)).abort_handle();
+    let task = tokio::spawn(accept_connections(handler, listener)).abort_handle();
     Ok(StandInServer { address, task })
 }
 
-async fn accept<H: Handler>(handler: Arc<H>, listener: TcpListener) {
-    // Dropping the set with this task closes every connection.
+async fn accept_connections<H: Handler>(handler: Arc<H>, listener: TcpListener) {
+    // Aborting this task drops the set, which closes every connection.
     let mut connections = JoinSet::new();
     while let Ok((stream, _)) = listener.accept().await {
         let _ = stream.set_nodelay(true);
@@ -77,20 +77,20 @@
     }
 }
 
-/// Reads a request's JSON body.
+/// Decodes a request's JSON body; `None` if the body is incomplete or malformed.
 pub async fn read_json<T: DeserializeOwned>(request: Request<Incoming>) -> Option<T> {
     let body = request.into_body().collect().await.ok()?.to_bytes();
     serde_json::from_slice(&body).ok()
 }
 
-/// A response with a status and a body.
+/// Builds a response with a status and a body.
 pub fn respond(status: StatusCode, body: impl Into<Bytes>) -> Response<Body> {
     let mut response = Response::new(full_body(body));
     *response.status_mut() = status;
     response
 }
 
-/// A response with a JSON body.
+/// Builds a successful response with a JSON body.
 pub fn respond_json(body: &impl serde::Serialize) -> Response<Body> {
     respond(StatusCode::OK, serde_json::to_vec(body).unwrap_or_default())
 }
--- a/crates/stageyoke-lab/src/standins/platform/caller.rs
+++ b/crates/stageyoke-lab/src/standins/platform/caller.rs
@@ -1,5 +1,5 @@
-//! A caller of the platform: programs of turns with kept history, tools between
-//! them, retries as the pages allow, and a check of every answer.
+//! Stand-in for a platform caller: runs programs of stored turns with tool calls
+//! between them, retries as the protocol allows, and checks every answer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,61 +21,62 @@
 };
 use crate::soak::promises::{Expected, Promises};
 
-const DEADLINE: Duration = Duration::from_millis(4000);
-const EVENTS_A_TURN: u32 = 6;
-const MOST_TOKENS: u32 = EVENTS_A_TURN * TOKENS_PER_EVENT;
-const MOST_RETRY_AFTER: Duration = Duration::from_millis(1300);
+const REQUEST_DEADLINE: Duration = Duration::from_millis(4000);
+const EVENTS_PER_TURN: u32 = 6;
+const MAX_TURN_TOKENS: u32 = EVENTS_PER_TURN * TOKENS_PER_EVENT;
+const MAX_RETRY_AFTER: Duration = Duration::from_millis(1300);
 
-/// A kept turn that later turns may go on from.
+/// Stored turn that later turns can continue.
 #[derive(Clone, Debug)]
 pub struct StoredTurn {
-    /// Its request identifier.
+    /// Identifier of the attempt that was answered.
     pub request_id: String,
-    /// Inputs and outputs of its chain, its own among them.
+    /// Inputs and outputs of the chain up to and including this turn.
     pub transcript: Vec<u8>,
-    /// When its answer had come whole: it is kept from then on.
+    /// Time at which the answer was complete; the retention time starts here.
     pub answered_at: Instant,
 }
 
-/// How a try ended.
+/// Outcome of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum End {
-    Whole(Bytes),
-    Refused(u16, Duration),
+enum Outcome {
+    Complete(Bytes),
+    Rejected(u16, Duration),
     Failed,
 }
 
-/// One caller.
+/// Caller that sends requests to random fronts.
 pub struct Caller {
-    /// Where fronts listen.
+    /// Addresses of the fronts.
     pub fronts: Arc<Vec<SocketAddr>>,
-    /// Where everything is reported.
+    /// Receives every request, every answer and every broken guarantee.
     pub promises: Arc<Promises>,
-    /// Draws what it does.
+    /// Source of the identifiers, budgets, fronts and tools to use.
     pub random: ChaCha8Rng,
 }
 
 impl Caller {
-    fn identifier(&mut self) -> String {
+    fn draw_identifier(&mut self) -> String {
         format!("{:016x}", self.random.random::<u64>())
     }
 
-    /// Runs one program of some turns; returns its last kept turn.
+    /// Runs a program of several turns; returns its last stored turn.
     pub async fn run_program(&mut self, turns: u32, until: Instant) -> Option<StoredTurn> {
-        let program = self.identifier();
-        // Enough for all turns, or for some: then 402 must come in time.
-        let budget = MOST_TOKENS * self.random.random_range(2..turns.max(3) * 2);
-        let mut given = 0;
+        let program = self.draw_identifier();
+        // Some budgets run out before the last turn, which must be answered 402.
+        let budget = MAX_TURN_TOKENS * self.random.random_range(2..turns.max(3) * 2);
+        let mut received_tokens = 0;
         let mut last: Option<StoredTurn> = None;
         for _ in 0..turns {
             let Some(next) = self
-                .run_turn(&program, budget, last.as_ref(), &mut given, until)
+                .run_turn(&program, budget, last.as_ref(), &mut received_tokens, until)
                 .await
             else {
                 break;
             };
-            if given > budget + MOST_TOKENS {
-                let breach = format!("program {program} was given {given} tokens of {budget}");
+            if received_tokens > budget + MAX_TURN_TOKENS {
+                let breach =
+                    format!("program {program} was given {received_tokens} tokens of {budget}");
                 self.promises.breach(breach);
             }
             last = Some(next);
@@ -85,17 +86,18 @@
         last
     }
 
-    /// One turn, tried anew until it is answered whole or the time is over.
+    /// Runs a turn, retrying it until it has a complete answer, is rejected for good
+    /// or `until` has passed.
     pub async fn run_turn(
         &mut self,
         program: &str,
         budget: u32,
         previous: Option<&StoredTurn>,
-        given: &mut u32,
+        received_tokens: &mut u32,
         until: Instant,
     ) -> Option<StoredTurn> {
         while Instant::now() < until {
-            let id = self.identifier();
+            let id = self.draw_identifier();
             let input = format!("question of {id}\n").into_bytes();
             let mut body = previous.map_or_else(Vec::new, |turn| turn.transcript.clone());
             body.extend_from_slice(&input);
@@ -104,9 +106,9 @@
                 repeatable: false,
             };
             self.promises.sends(&id, expected);
-            let mut request = self.request(Method::POST, STORED_TURN_PATH, &id, input);
+            let mut request = self.build_request(Method::POST, STORED_TURN_PATH, &id, input);
             let headers = request.headers_mut();
-            let tokens = format!("10,{MOST_TOKENS}");
+            let tokens = format!("10,{MAX_TURN_TOKENS}");
             let mut fields = vec![
                 (names::PROGRAM_ID, program.to_owned()),
                 (names::TOKEN_BUDGET, budget.to_string()),
@@ -118,14 +120,15 @@
                     headers.insert(name, value);
                 }
             }
-            let mut heard = Vec::new();
-            let end = self.attempt(request, &id, &mut heard).await;
-            *given += self.check_events(&id, &heard, matches!(end, End::Whole(_)));
-            match end {
-                End::Whole(_) => {
+            let mut received = Vec::new();
+            let outcome = self.attempt(request, &id, &mut received).await;
+            *received_tokens +=
+                self.check_events(&id, &received, matches!(outcome, Outcome::Complete(_)));
+            match outcome {
+                Outcome::Complete(_) => {
                     self.promises.answered(previous.is_some());
                     self.promises.turn_served();
-                    for number in 0..EVENTS_A_TURN {
+                    for number in 0..EVENTS_PER_TURN {
                         body.extend_from_slice(event_data(&id, number).as_bytes());
                         body.push(b'\n');
                     }
@@ -135,22 +138,22 @@
                         answered_at: Instant::now(),
                     });
                 }
-                End::Refused(402, _) => return None,
-                End::Refused(404, _) => {
+                Outcome::Rejected(402, _) => return None,
+                Outcome::Rejected(404, _) => {
                     let breach = format!("{id}: a kept turn or route was answered 404");
                     self.promises.breach(breach);
                     return None;
                 }
-                End::Refused(_, after) => tokio::time::sleep(after).await,
-                End::Failed => tokio::time::sleep(Duration::from_millis(150)).await,
+                Outcome::Rejected(_, retry_after) => tokio::time::sleep(retry_after).await,
+                Outcome::Failed => tokio::time::sleep(Duration::from_millis(150)).await,
             }
         }
         None
     }
 
-    /// One call of a tool.
+    /// Calls a tool once, without retries.
     pub async fn call_tool(&mut self, repeatable: bool) {
-        let id = self.identifier();
+        let id = self.draw_identifier();
         let (method, path, body) = match repeatable {
             true => (Method::GET, IDEMPOTENT_TOOL_PATH, Vec::new()),
             false => (
@@ -164,9 +167,9 @@
             repeatable,
         };
         self.promises.sends(&id, expected);
-        let request = self.request(method, path, &id, body);
-        let mut heard = Vec::new();
-        if let End::Whole(content) = self.attempt(request, &id, &mut heard).await {
+        let request = self.build_request(method, path, &id, body);
+        let mut received = Vec::new();
+        if let Outcome::Complete(content) = self.attempt(request, &id, &mut received).await {
             self.promises.answered(false);
             if content != format!("answer to {id}").as_bytes() {
                 self.promises
@@ -175,9 +178,10 @@
         }
     }
 
-    /// Events must be this turn's own, in order, none missing or doubled.
-    fn check_events(&self, id: &str, heard: &[u8], whole: bool) -> u32 {
-        let text = String::from_utf8_lossy(heard);
+    /// Checks that the events belong to this turn and are in order, with none missing
+    /// or duplicated. Returns the number of tokens received.
+    fn check_events(&self, id: &str, received: &[u8], is_complete: bool) -> u32 {
+        let text = String::from_utf8_lossy(received);
         let mut count = 0;
         for line in text.lines().filter_map(|line| line.strip_prefix("data: ")) {
             if line != event_data(id, count) {
@@ -186,20 +190,26 @@
             }
             count += 1;
         }
-        if whole && count != EVENTS_A_TURN {
+        if is_complete && count != EVENTS_PER_TURN {
             self.promises
                 .breach(format!("{id} ended as whole after {count} events"));
         }
         count * TOKENS_PER_EVENT
     }
 
-    fn request(&self, method: Method, path: &str, id: &str, body: Vec<u8>) -> Request<Full<Bytes>> {
+    fn build_request(
+        &self,
+        method: Method,
+        path: &str,
+        id: &str,
+        body: Vec<u8>,
+    ) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::from(body));
         *request.method_mut() = method;
         if let Ok(uri) = path.parse() {
             *request.uri_mut() = uri;
         }
-        let deadline = DEADLINE.as_millis().to_string();
+        let deadline = REQUEST_DEADLINE.as_millis().to_string();
         let key = format!("Bearer {CALLERS_KEY}");
         let fields = [
             ("host", HOST),
@@ -215,17 +225,17 @@
         request
     }
 
-    /// One try at one front.
+    /// Sends a request to a random front and checks the headers of its answer.
     async fn attempt(
         &mut self,
         request: Request<Full<Bytes>>,
         id: &str,
-        heard: &mut Vec<u8>,
-    ) -> End {
+        received: &mut Vec<u8>,
+    ) -> Outcome {
         let front = self.fronts[self.random.random_range(0..self.fronts.len())];
-        let talking = exchange(front, request, heard);
-        let Ok(Some(response)) = tokio::time::timeout(DEADLINE, talking).await else {
-            return End::Failed;
+        let exchanging = exchange(front, request, received);
+        let Ok(Some(response)) = tokio::time::timeout(REQUEST_DEADLINE, exchanging).await else {
+            return Outcome::Failed;
         };
         let status = response.status();
         if status == StatusCode::OK {
@@ -238,27 +248,28 @@
                 self.promises
                     .breach(format!("{id} got a success without a signature"));
             }
-            return End::Whole(Bytes::copy_from_slice(heard));
+            return Outcome::Complete(Bytes::copy_from_slice(received));
         }
         if matches!(status.as_u16(), 402 | 404 | 408 | 421 | 429 | 503) {
             self.promises.refused(id, status.as_u16());
-            let after = response
+            let retry_after = response
                 .headers()
                 .get(names::RETRY_AFTER)
                 .and_then(|value| value.to_str().ok())
                 .and_then(|value| value.parse::<f64>().ok())
                 .map_or(Duration::from_millis(200), Duration::from_secs_f64);
-            return End::Refused(status.as_u16(), after.min(MOST_RETRY_AFTER));
+            return Outcome::Rejected(status.as_u16(), retry_after.min(MAX_RETRY_AFTER));
         }
-        End::Failed
+        Outcome::Failed
     }
 }
 
-/// Sends a request and reads its answer; `None` unless it came whole.
+/// Sends a request and appends the answer's body to `received`; `None` if the
+/// answer is incomplete.
 async fn exchange(
     front: SocketAddr,
     request: Request<Full<Bytes>>,
-    heard: &mut Vec<u8>,
+    received: &mut Vec<u8>,
 ) -> Option<Response<()>> {
     let stream = TcpStream::connect(front).await.ok()?;
     let (mut sender, connection) =
@@ -271,7 +282,7 @@
     while let Some(frame) = body.frame().await {
         let frame = frame.ok()?;
         if let Some(data) = frame.data_ref() {
-            heard.extend_from_slice(data);
+            received.extend_from_slice(data);
         }
     }
     driver.abort();
--- a/crates/stageyoke-lab/src/standins/platform/mod.rs
+++ b/crates/stageyoke-lab/src/standins/platform/mod.rs
@@ -1,71 +1,71 @@
-//! Stand-ins for the operator's platform: its key-value service, its replicas
-//! and its callers, as its pages describe them.
+//! Stand-ins for the operator's platform: key-value service, replicas and callers,
+//! following the platform's published protocols.
 
 pub mod caller;
 pub mod replica;
 pub mod store;
 pub mod tenants;
 
-/// Header names of the platform.
+/// Header names, key-value keys and variables of the platform.
 pub mod names {
-    /// Identifier of one try.
+    /// Header with the identifier of one attempt.
     pub const REQUEST_ID: &str = "request-id";
-    /// Milliseconds that the caller waits.
+    /// Header with the time that the caller waits, in milliseconds.
     pub const DEADLINE_MS: &str = "deadline-ms";
-    /// Signature of a replica's answer.
+    /// Header with the signature of the replica that answered.
     pub const SIGNATURE: &str = "response-stamp";
-    /// Incarnation that a request is meant for.
+    /// Header with the replica incarnation that a request is addressed to.
     pub const EXPECTED_INSTANCE: &str = "expect-instance";
-    /// Marks answers to requests that were not run.
+    /// Header that marks answers to requests that were not executed.
     pub const NOT_EXECUTED: &str = "not-executed";
-    /// Prompt tokens and most tokens to generate.
+    /// Header with the prompt tokens and the maximum number of generated tokens.
     pub const TOKEN_COUNTS: &str = "token-count";
-    /// Program of a request.
+    /// Header with the program of a request.
     pub const PROGRAM_ID: &str = "program-id";
-    /// Tokens of the whole program.
+    /// Header with the token budget of the program.
     pub const TOKEN_BUDGET: &str = "token-budget";
-    /// Turn that a request goes on from.
+    /// Header with the stored turn that a request continues.
     pub const PREVIOUS_TURN: &str = "previous-turn";
-    /// When a refused request may come back, in seconds.
+    /// Header with the delay before a rejected request may be retried, in seconds.
     pub const RETRY_AFTER: &str = "retry-after";
-    /// Key of the operator's configuration.
+    /// Key-value key of the operator's configuration.
     pub const CONFIG_KEY: &str = "op/config";
-    /// Prefix of the replicas' entries.
+    /// Key prefix of the replicas' entries.
     pub const SERVERS_PREFIX: &str = "servers/";
-    /// Prefix of the operator's orders to empty a store.
+    /// Key prefix of the operator's orders to retire a store.
     pub const RETIRE_PREFIX: &str = "op/retire/";
-    /// Prefix of the answers to these orders.
+    /// Key prefix of the stores' answers to retirement orders.
     pub const RETIRE_STATUS_PREFIX: &str = "status/retire/";
-    /// Variable that names a process's settings file.
+    /// Environment variable with the path of a process's settings file.
     pub const SETTINGS_VARIABLE: &str = "STAGEYOKE_BOOT";
 }
 
-/// Tokens in one event of the model replicas.
+/// Tokens in one event of a model replica's stream.
 pub const TOKENS_PER_EVENT: u32 = 9;
-/// How long a turn is kept after its answer, in seconds.
+/// Retention time of a stored turn after its answer, in seconds.
 pub const RETENTION_SECONDS: u64 = 60;
-/// Host of all routes.
+/// Host name of all routes.
 pub const HOST: &str = "lab.example";
-/// Path of the turns whose history is kept.
+/// Path of the route whose turns are stored.
 pub const STORED_TURN_PATH: &str = "/kept/turn";
-/// Path of the tool that may be repeated.
+/// Path of the tool whose calls may be retried.
 pub const IDEMPOTENT_TOOL_PATH: &str = "/safe/read";
-/// Path of the tool that may not.
+/// Path of the tool whose calls must run at most once.
 pub const NON_IDEMPOTENT_TOOL_PATH: &str = "/once/write";
 
-/// Path of a route that only this version of the configuration has.
+/// Path of a route that exists only in this version of the configuration.
 pub fn version_path(version: u64) -> String {
     format!("/version-{version}/read")
 }
 
-/// The operator's configuration.
+/// Builds a version of the operator's configuration.
 pub fn configuration(version: u64) -> serde_json::Value {
-    let route = |name: &str, kind: &str, service: &str, kept: bool| {
+    let route = |name: &str, kind: &str, service: &str, is_stored: bool| {
         serde_json::json!({
             "Name": name, "Host": HOST, "PathPrefix": format!("/{name}/"), "Kind": kind,
             "TimeoutMs": 4000, "SloMs": 200, "Priority": 1, "Service": service,
             "MaxAttempts": if kind == "safe" { 3 } else { 1 },
-            "RetainContext": kept, "RetentionS": RETENTION_SECONDS as f64, "CanResume": false,
+            "RetainContext": is_stored, "RetentionS": RETENTION_SECONDS as f64, "CanResume": false,
         })
     };
     serde_json::json!({
@@ -86,11 +86,11 @@
     })
 }
 
-/// What the answer to an order to empty a store says once the store has left.
+/// Status in the answer to a retirement order once the store has left.
 pub const RETIREMENT_COMPLETED: &str = "completed";
 
-/// The operator's order to empty a store within a time.
-pub fn retirement_order(within: std::time::Duration) -> Vec<u8> {
-    let order = serde_json::json!({"WithinS": within.as_secs_f64()});
+/// Encodes the operator's order to retire a store within a time limit.
+pub fn retirement_order(time_limit: std::time::Duration) -> Vec<u8> {
+    let order = serde_json::json!({"WithinS": time_limit.as_secs_f64()});
     order.to_string().into_bytes()
 }
--- a/crates/stageyoke-lab/src/standins/platform/replica.rs
+++ b/crates/stageyoke-lab/src/standins/platform/replica.rs
@@ -1,5 +1,5 @@
-//! A replica of the platform: streams turns or answers tools, and reports every
-//! run to the promises' record.
+//! Stand-in for a platform replica: streams turns or answers tool calls, and
+//! records every execution for the soak's checks.
 
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -18,48 +18,48 @@
 use crate::soak::promises::Promises;
 use crate::standins::{Handler, respond};
 
-const EVENT_PAUSE: Duration = Duration::from_millis(4);
-const TOOL_WORK: Duration = Duration::from_millis(5);
-const PIECES_WAITING: usize = 4;
+const EVENT_INTERVAL: Duration = Duration::from_millis(4);
+const TOOL_EXECUTION_TIME: Duration = Duration::from_millis(5);
+const MAX_BUFFERED_EVENTS: usize = 4;
 
-/// What goes wrong at a replica, in percent of its requests.
+/// Faults injected at a replica, each with its share of requests in percent.
 #[derive(Debug, Default)]
 pub struct ReplicaFaults {
-    /// Refused without being run.
+    /// Requests rejected without execution.
     pub rejected_percent: AtomicU32,
-    /// Broken off partway.
+    /// Streams aborted before their end.
     pub truncated_percent: AtomicU32,
-    /// Run, with the answer lost.
+    /// Requests executed without ever sending an answer.
     pub lost_answer_percent: AtomicU32,
 }
 
-/// One replica.
+/// Replica of the platform.
 pub struct ReplicaStandIn {
-    /// Its identifier, which it has again where it starts again.
+    /// Identifier, which stays the same over restarts.
     pub id: String,
-    /// Whether it is a model engine.
+    /// `true` for a model engine that streams turns, `false` for a tool.
     pub is_engine: bool,
-    /// Its trouble.
+    /// Injected faults.
     pub faults: Arc<ReplicaFaults>,
-    /// Where runs are reported.
+    /// Receives every execution and every broken guarantee.
     pub promises: Arc<Promises>,
-    /// When it started, in Unix milliseconds.
+    /// Start time in Unix milliseconds.
     pub started_at_ms: AtomicU64,
-    /// When it said that it leaves.
+    /// Time at which the replica announced that it is leaving.
     pub leaving_since: Mutex<Option<Instant>>,
 }
 
-fn text(headers: &HeaderMap, name: &str) -> String {
+fn header_text(headers: &HeaderMap, name: &str) -> String {
     let value = headers.get(name).and_then(|value| value.to_str().ok());
     value.unwrap_or_default().to_owned()
 }
 
-fn strikes(percent: &AtomicU32) -> bool {
+fn draw_fault(percent: &AtomicU32) -> bool {
     rand::random_range(0..100) < percent.load(Ordering::Relaxed)
 }
 
 impl ReplicaStandIn {
-    /// Says that it leaves, or that another has taken its place.
+    /// Announces that the replica is leaving, or that a successor replaced it.
     pub fn set_leaving(&self, leaving: bool) {
         let mut since = self
             .leaving_since
@@ -68,14 +68,15 @@
         *since = leaving.then(Instant::now);
     }
 
-    /// Work that comes too long after it has said that it leaves.
-    fn check_leaving(&self, request: &str) {
+    /// Reports a request that arrives too long after the replica announced that it
+    /// is leaving.
+    fn check_leaving_deadline(&self, request: &str) {
         let since = *self
             .leaving_since
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let late = since.map(|since| since.elapsed());
-        if let Some(late) = late.filter(|late| *late > CHANGE_BOUND)
+        let elapsed = since.map(|since| since.elapsed());
+        if let Some(late) = elapsed.filter(|elapsed| *elapsed > CHANGE_BOUND)
             && self.promises.calm.holds()
         {
             let (id, late) = (&self.id, late.as_millis());
@@ -84,7 +85,7 @@
         }
     }
 
-    fn head(&self, response: &mut Response<Body>, request: &str) {
+    fn set_headers(&self, response: &mut Response<Body>, request: &str) {
         let headers = response.headers_mut();
         for (name, value) in [(names::REQUEST_ID, request), (names::SIGNATURE, &self.id)] {
             if let Ok(value) = HeaderValue::from_str(value) {
@@ -93,9 +94,9 @@
         }
     }
 
-    fn refuse(&self, status: StatusCode, request: &str) -> Response<Body> {
+    fn reject(&self, status: StatusCode, request: &str) -> Response<Body> {
         let mut response = respond(status, "");
-        self.head(&mut response, request);
+        self.set_headers(&mut response, request);
         response.headers_mut().remove(names::SIGNATURE);
         response
             .headers_mut()
@@ -103,18 +104,18 @@
         response
     }
 
-    fn stream(&self, request: String, events: u32) -> Response<Body> {
-        let (sender, body) = pieces::channel::<BodyError>(PIECES_WAITING);
-        let cut_at =
-            strikes(&self.faults.truncated_percent).then(|| rand::random_range(0..events.max(1)));
-        tokio::spawn(send_events(sender, request.clone(), events, cut_at));
+    fn stream_turn(&self, request: String, events: u32) -> Response<Body> {
+        let (sender, body) = pieces::channel::<BodyError>(MAX_BUFFERED_EVENTS);
+        let abort_before = draw_fault(&self.faults.truncated_percent)
+            .then(|| rand::random_range(0..events.max(1)));
+        tokio::spawn(send_events(sender, request.clone(), events, abort_before));
         let mut response = Response::new(body.boxed());
-        self.head(&mut response, &request);
+        self.set_headers(&mut response, &request);
         response
     }
 }
 
-/// The data of one event of a turn's answer.
+/// Data of one event in the answer to a turn.
 pub fn event_data(request: &str, number: u32) -> String {
     format!("{request} says {number}")
 }
@@ -123,11 +124,11 @@
     mut sender: PieceSender<BodyError>,
     request: String,
     events: u32,
-    cut_at: Option<u32>,
+    abort_before: Option<u32>,
 ) {
     for number in 0..events {
-        tokio::time::sleep(EVENT_PAUSE).await;
-        if cut_at == Some(number) {
+        tokio::time::sleep(EVENT_INTERVAL).await;
+        if abort_before == Some(number) {
             sender.abort("cut".into()).await;
             return;
         }
@@ -142,30 +143,33 @@
 impl Handler for ReplicaStandIn {
     async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         let headers = request.headers().clone();
-        let id = text(&headers, names::REQUEST_ID);
-        if text(&headers, names::EXPECTED_INSTANCE) != self.id {
-            return self.refuse(StatusCode::MISDIRECTED_REQUEST, &id);
+        let id = header_text(&headers, names::REQUEST_ID);
+        if header_text(&headers, names::EXPECTED_INSTANCE) != self.id {
+            return self.reject(StatusCode::MISDIRECTED_REQUEST, &id);
         }
-        self.check_leaving(&id);
-        if strikes(&self.faults.rejected_percent) {
-            return self.refuse(StatusCode::SERVICE_UNAVAILABLE, &id);
+        self.check_leaving_deadline(&id);
+        if draw_fault(&self.faults.rejected_percent) {
+            return self.reject(StatusCode::SERVICE_UNAVAILABLE, &id);
         }
         let Ok(body) = request.into_body().collect().await else {
-            return self.refuse(StatusCode::BAD_REQUEST, &id);
+            return self.reject(StatusCode::BAD_REQUEST, &id);
         };
         self.promises.runs(&id, &body.to_bytes());
-        if strikes(&self.faults.lost_answer_percent) {
+        if draw_fault(&self.faults.lost_answer_percent) {
             std::future::pending::<()>().await;
         }
         if self.is_engine {
-            let most = text(&headers, names::TOKEN_COUNTS);
-            let most = most.split(',').nth(1).and_then(|most| most.parse().ok());
-            let events = most.unwrap_or(TOKENS_PER_EVENT) / TOKENS_PER_EVENT;
-            return self.stream(id, events);
+            let token_counts = header_text(&headers, names::TOKEN_COUNTS);
+            let max_tokens = token_counts
+                .split(',')
+                .nth(1)
+                .and_then(|tokens| tokens.parse().ok());
+            let events = max_tokens.unwrap_or(TOKENS_PER_EVENT) / TOKENS_PER_EVENT;
+            return self.stream_turn(id, events);
         }
-        tokio::time::sleep(TOOL_WORK).await;
+        tokio::time::sleep(TOOL_EXECUTION_TIME).await;
         let mut response = respond(StatusCode::OK, format!("answer to {id}"));
-        self.head(&mut response, &id);
+        self.set_headers(&mut response, &id);
         response
     }
 }
--- a/crates/stageyoke-lab/src/standins/platform/store.rs
+++ b/crates/stageyoke-lab/src/standins/platform/store.rs
@@ -1,5 +1,5 @@
-//! The platform's key-value service: items with revisions, watches, history
-//! that can be forgotten, transactions, and trouble on demand.
+//! Stand-in for the platform's key-value service: revisions, watches, transactions,
+//! compaction of the history, and faults on demand.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -17,36 +17,37 @@
 
 use crate::standins::{Handler, read_json, respond, respond_json};
 
-const HISTORY_EVENTS: usize = 4096;
+const MAX_HISTORY_EVENTS: usize = 4096;
 
-/// The service.
+/// In-memory key-value service of the platform.
 #[derive(Default)]
 pub struct PlatformStoreStandIn {
     data: Mutex<Data>,
     changed: Notify,
-    /// Refuses everything.
+    /// Rejects every call with status 503 while `true`.
     pub down: AtomicBool,
-    /// Milliseconds that each answer takes longer.
+    /// Added delay of each answer, in milliseconds.
     pub answer_delay_ms: AtomicU64,
-    /// Of 100 writes, so many are done without an answer.
+    /// Percentage of transactions that are processed but never answered.
     pub lost_answer_percent: AtomicU32,
-    /// Calls so far.
+    /// Number of calls received.
     pub calls: AtomicU64,
-    /// While true, calls are taken and never answered.
+    /// While `true`, calls are accepted but never answered.
     silent: AtomicBool,
-    /// Silences so far; a call that one began or ended in is never answered.
-    silences: AtomicU64,
+    /// Number of starts and ends of silence_changes; a call during which it changes is
+    /// never answered.
+    silence_changes: AtomicU64,
 }
 
 #[derive(Default)]
 struct Data {
     revision: u64,
-    items: BTreeMap<String, Stored>,
+    items: BTreeMap<String, StoredItem>,
     history: VecDeque<(u64, String)>,
-    forgotten: u64,
+    compacted_revision: u64,
 }
 
-struct Stored {
+struct StoredItem {
     value: Vec<u8>,
     revision: u64,
 }
@@ -76,49 +77,50 @@
 }
 
 impl PlatformStoreStandIn {
-    fn data(&self) -> MutexGuard<'_, Data> {
+    fn lock_data(&self) -> MutexGuard<'_, Data> {
         self.data.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes a key, as the operator or a replica does.
+    /// Writes a key on behalf of the operator or a replica.
     pub fn put(&self, key: &str, value: &[u8]) {
-        self.data().write(key, Some(value));
+        self.lock_data().write(key, Some(value));
         self.changed.notify_waiters();
     }
 
-    /// A key's value.
+    /// Returns a key's value.
     pub fn value(&self, key: &str) -> Option<Vec<u8>> {
-        let data = self.data();
+        let data = self.lock_data();
         data.items.get(key).map(|stored| stored.value.clone())
     }
 
     /// Removes a key.
     pub fn remove(&self, key: &str) {
-        self.data().write(key, None);
+        self.lock_data().write(key, None);
         self.changed.notify_waiters();
     }
 
-    /// Forgets all history: watches must read everything again.
-    pub fn forget_history(&self) {
-        let mut data = self.data();
+    /// Compacts the whole history, so that watches from older revisions get status
+    /// 410 and must read a new snapshot.
+    pub fn compact_history(&self) {
+        let mut data = self.lock_data();
         data.history.clear();
-        data.forgotten = data.revision + 1;
+        data.compacted_revision = data.revision + 1;
         data.revision += 1;
         drop(data);
         self.changed.notify_waiters();
     }
 
-    /// Answers nobody any more, and leaves all connections open. What is waiting
-    /// now, watches too, never gets an answer.
+    /// Stops answering while keeping all connections open. Calls in flight,
+    /// including watches, never get an answer.
     pub fn stop_answering(&self) {
-        self.silences.fetch_add(1, Ordering::Relaxed);
+        self.silence_changes.fetch_add(1, Ordering::Relaxed);
         self.silent.store(true, Ordering::Relaxed);
     }
 
-    /// Answers the calls that come from now on.
+    /// Answers calls that arrive from now on.
     pub fn resume_answering(&self) {
         self.silent.store(false, Ordering::Relaxed);
-        self.silences.fetch_add(1, Ordering::Relaxed);
+        self.silence_changes.fetch_add(1, Ordering::Relaxed);
     }
 
     async fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Response<Body> {
@@ -126,8 +128,8 @@
         loop {
             let notified = self.changed.notified();
             {
-                let data = self.data();
-                if after < data.forgotten {
+                let data = self.lock_data();
+                if after < data.compacted_revision {
                     return respond(StatusCode::GONE, "");
                 }
                 let events = data.events(prefix, after);
@@ -136,19 +138,19 @@
                 }
             }
             if tokio::time::timeout_at(deadline, notified).await.is_err() {
-                let at = self.data().revision;
+                let at = self.lock_data().revision;
                 return respond_json(&json!({"events": [], "at": at}));
             }
         }
     }
 
     fn transact(&self, transaction: &Transaction) -> Response<Body> {
-        let mut data = self.data();
-        let holds = transaction
+        let mut data = self.lock_data();
+        let conditions_hold = transaction
             .conditions
             .iter()
             .all(|condition| data.revision_of(&condition.key) == condition.revision);
-        if !holds {
+        if !conditions_hold {
             return respond(StatusCode::PRECONDITION_FAILED, "{\"items\":[]}");
         }
         for put in &transaction.put {
@@ -174,7 +176,7 @@
         let revision = self.revision;
         match value {
             Some(value) => {
-                let stored = Stored {
+                let stored = StoredItem {
                     value: value.to_vec(),
                     revision,
                 };
@@ -183,10 +185,10 @@
             None => drop(self.items.remove(key)),
         }
         self.history.push_back((revision, key.to_owned()));
-        if self.history.len() > HISTORY_EVENTS
+        if self.history.len() > MAX_HISTORY_EVENTS
             && let Some((revision, _)) = self.history.pop_front()
         {
-            self.forgotten = revision;
+            self.compacted_revision = revision;
         }
     }
 
@@ -195,20 +197,20 @@
             .iter()
             .filter(|(revision, key)| *revision > after && key.starts_with(prefix))
             .map(|(revision, key)| match self.items.get(key) {
-                Some(stored) => item(key, stored),
+                Some(stored) => item_json(key, stored),
                 None => json!({"Key": key, "Rev": revision, "gone": true}),
             })
             .collect()
     }
 }
 
-fn item(key: &str, stored: &Stored) -> Value {
+fn item_json(key: &str, stored: &StoredItem) -> Value {
     json!({"Key": key, "Value": STANDARD.encode(&stored.value), "Rev": stored.revision,
            "made": stored.revision, "lease": 0})
 }
 
-/// A query's value.
-fn query(request: &Request<Incoming>, name: &str) -> Option<String> {
+/// Returns the value of a query parameter.
+fn query_parameter(request: &Request<Incoming>, name: &str) -> Option<String> {
     let query = request.uri().query()?;
     let pair = query.split('&').find_map(|pair| {
         let (key, value) = pair.split_once('=')?;
@@ -219,10 +221,10 @@
 
 impl Handler for PlatformStoreStandIn {
     async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
-        let silences = self.silences.load(Ordering::Relaxed);
+        let silence_changes = self.silence_changes.load(Ordering::Relaxed);
         let response = self.answer(request).await;
         let silent = self.silent.load(Ordering::Relaxed);
-        if silent || self.silences.load(Ordering::Relaxed) != silences {
+        if silent || self.silence_changes.load(Ordering::Relaxed) != silence_changes {
             std::future::pending::<()>().await;
         }
         response
@@ -232,35 +234,36 @@
 impl PlatformStoreStandIn {
     async fn answer(&self, request: Request<Incoming>) -> Response<Body> {
         self.calls.fetch_add(1, Ordering::Relaxed);
-        let slow = self.answer_delay_ms.load(Ordering::Relaxed);
-        tokio::time::sleep(Duration::from_millis(slow)).await;
+        let delay = self.answer_delay_ms.load(Ordering::Relaxed);
+        tokio::time::sleep(Duration::from_millis(delay)).await;
         if self.down.load(Ordering::Relaxed) {
             return respond(StatusCode::SERVICE_UNAVAILABLE, "");
         }
-        let prefix = query(&request, "PathPrefix").unwrap_or_default();
+        let prefix = query_parameter(&request, "PathPrefix").unwrap_or_default();
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/-/kv-key") => {
-                let key = query(&request, "Key").unwrap_or_default();
-                let data = self.data();
+                let key = query_parameter(&request, "Key").unwrap_or_default();
+                let data = self.lock_data();
                 match data.items.get(&key) {
-                    Some(stored) => respond_json(&item(&key, stored)),
+                    Some(stored) => respond_json(&item_json(&key, stored)),
                     None => respond(StatusCode::NOT_FOUND, ""),
                 }
             }
             (&Method::GET, "/-/kv-range") => {
-                let data = self.data();
+                let data = self.lock_data();
                 let items: Vec<Value> = data
                     .items
                     .iter()
                     .filter(|(key, _)| key.starts_with(&prefix))
-                    .map(|(key, stored)| item(key, stored))
+                    .map(|(key, stored)| item_json(key, stored))
                     .collect();
                 respond_json(&json!({"items": items, "more": false, "at": data.revision}))
             }
             (&Method::GET, "/-/kv-watch") => {
-                let number = |name| query(&request, name).and_then(|text| text.parse().ok());
-                let after = number("after").unwrap_or(0);
-                let wait = Duration::from_millis(number("WaitMs").unwrap_or(1000));
+                let number_parameter =
+                    |name| query_parameter(&request, name).and_then(|text| text.parse().ok());
+                let after = number_parameter("after").unwrap_or(0);
+                let wait = Duration::from_millis(number_parameter("WaitMs").unwrap_or(1000));
                 self.watch(&prefix, after, wait).await
             }
             (&Method::POST, "/-/kv-txn") => {
@@ -268,9 +271,9 @@
                     return respond(StatusCode::BAD_REQUEST, "");
                 };
                 let answer = self.transact(&transaction);
-                let lost = self.lost_answer_percent.load(Ordering::Relaxed);
-                if rand::random_range(0..100) < lost {
-                    // Done, and never answered.
+                let lost_answer_percent = self.lost_answer_percent.load(Ordering::Relaxed);
+                if rand::random_range(0..100) < lost_answer_percent {
+                    // The transaction was processed, but its answer is lost.
                     std::future::pending::<()>().await;
                 }
                 answer
--- a/crates/stageyoke-lab/src/standins/platform/tenants.rs
+++ b/crates/stageyoke-lab/src/standins/platform/tenants.rs
@@ -1,29 +1,29 @@
-//! Tenants of the operator's configuration, with their keys and limits.
+//! Operator configuration with tenants, their API keys and rate limits.
 
 use serde_json::{Value, json};
 
 use super::configuration;
 
-/// Key of the callers of programs, who have no limit.
+/// API key of the callers that run programs, without a rate limit.
 pub const CALLERS_KEY: &str = "callers-key";
-/// Key of a tenant that stays far under its limit.
+/// API key of a tenant that stays far below its rate limit.
 pub const STEADY_KEY: &str = "steady-key";
-/// Key of a tenant that asks for more than its limit.
+/// API key of a tenant that exceeds its rate limit.
 pub const HOT_KEY: &str = "hot-key";
-/// Requests a second, and at once, of the steady tenant: some for each front of the
-/// largest runs also where no store counts for it.
+/// Rate (requests per second) and burst of the steady tenant. High enough that each
+/// front of the largest runs has a share when no store can count the tenant's requests.
 const STEADY_LIMIT: f64 = 400.0;
-/// Requests a second of the hot tenant.
+/// Rate limit of the hot tenant, in requests per second.
 pub const HOT_RATE: f64 = 5.0;
-/// Requests of the hot tenant beyond that.
+/// Burst of the hot tenant, in requests.
 pub const HOT_BURST: f64 = 5.0;
 
-/// Key that only this version of the configuration has.
+/// API key that exists only in this version of the configuration.
 pub fn guest_key(version: u64) -> String {
     format!("guest-key-{version}")
 }
 
-/// The operator's configuration with tenants.
+/// Builds a version of the operator's configuration with tenants.
 pub fn configuration_with_tenants(version: u64) -> Value {
     let tenant = |name: &str, key: &str, rate: f64, burst: f64| json!({"Name": name, "ApiKeys": [key], "RatePerS": rate, "Burst": burst});
     let mut configuration = configuration(version);
--- a/crates/stageyoke-lab/src/standins/text.rs
+++ b/crates/stageyoke-lab/src/standins/text.rs
@@ -1,22 +1,23 @@
-//! The text that a stand-in engine generates. It depends on the whole prompt,
-//! so a lost, mixed or doubled history shows up in the answer.
+//! Text generation of the stand-in engine. The answer is a function of the whole
+//! prompt, so a lost, mixed or duplicated history changes the answer.
 
-/// Least tokens of an answer.
-const LEAST_TOKENS: u64 = 4;
-/// Range of an answer's length beyond the least.
-const TOKEN_RANGE: u64 = 12;
-/// A prompt that holds this word, followed by a number, gets as many tokens.
-const LENGTH_WORD: &str = "tokens:";
+/// Minimum length of an answer without a length directive.
+const MIN_ANSWER_TOKENS: u64 = 4;
+/// Number of different lengths of an answer without a length directive.
+const ANSWER_LENGTH_RANGE: u64 = 12;
+/// Prefix of a word such as `tokens:40` in the last message that sets the
+/// answer's length.
+const LENGTH_DIRECTIVE: &str = "tokens:";
 
 /// One message of a prompt.
 pub struct PromptMessage<'a> {
-    /// Author.
+    /// Role of the author, such as `user`.
     pub role: &'a str,
-    /// Text.
+    /// Text of the message.
     pub content: &'a str,
 }
 
-/// Digest of a prompt.
+/// Hashes the roles and texts of a prompt.
 pub fn prompt_digest(prompt: &[PromptMessage<'_>]) -> u64 {
     let mut hasher = blake3::Hasher::new();
     for message in prompt {
@@ -30,23 +31,23 @@
     u64::from_le_bytes(prefix)
 }
 
-/// Tokens of a text: its words.
+/// Counts the tokens of a text: one per word.
 pub fn count_tokens(text: &str) -> u64 {
     text.split_whitespace().count() as u64
 }
 
-/// How many tokens the answer to a prompt has.
+/// Number of tokens in the answer to a prompt.
 pub fn answer_length(prompt: &[PromptMessage<'_>], max_tokens: u32) -> u64 {
-    let asked = prompt.last().and_then(|message| {
+    let requested = prompt.last().and_then(|message| {
         let mut words = message.content.split_whitespace();
-        words.find_map(|word| word.strip_prefix(LENGTH_WORD)?.parse::<u64>().ok())
+        words.find_map(|word| word.strip_prefix(LENGTH_DIRECTIVE)?.parse::<u64>().ok())
     });
-    let natural = LEAST_TOKENS + prompt_digest(prompt) % TOKEN_RANGE;
-    asked.unwrap_or(natural).min(u64::from(max_tokens))
+    let default = MIN_ANSWER_TOKENS + prompt_digest(prompt) % ANSWER_LENGTH_RANGE;
+    requested.unwrap_or(default).min(u64::from(max_tokens))
 }
 
-/// One token of the answer to a prompt with a given digest, with the space
-/// before it.
+/// Token at a position of the answer to the prompt with this digest, including
+/// the space that separates it from the previous token.
 pub fn answer_token(digest: u64, position: u64) -> String {
     let word = stageyoke_core::hash::mix(digest ^ position) & 0xffff_ffff;
     if position == 0 {
@@ -56,7 +57,7 @@
     }
 }
 
-/// The whole answer to a prompt.
+/// Complete answer to a prompt.
 pub fn complete_answer(prompt: &[PromptMessage<'_>], max_tokens: u32) -> String {
     let digest = prompt_digest(prompt);
     let length = answer_length(prompt, max_tokens);
