--- a/crates/stageyoke-lab/src/cluster.rs
+++ b/crates/stageyoke-lab/src/cluster.rs
@@ -342,7 +342,9 @@
         for (index, node) in self.running() {
             while !is_met(node).await {
                 if Instant::now() > deadline {
-                    return Err(miette!("node {index} did not reach {condition} within {WAIT_TIMEOUT:?}"));
+                    return Err(miette!(
+                        "node {index} did not reach {condition} within {WAIT_TIMEOUT:?}"
+                    ));
                 }
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
--- a/crates/stageyoke-lab/src/demo/checks.rs
+++ b/crates/stageyoke-lab/src/demo/checks.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 
 use super::CheckResult;
-use super::programs::{SEQUENTIAL_PREFIX, CallRecord};
+use super::programs::{CallRecord, SEQUENTIAL_PREFIX};
 use crate::caller::Reply;
 use crate::standins::engine::RunRecord;
 use crate::standins::text::{PromptMessage, complete_answer};
@@ -88,7 +88,10 @@
     program.starts_with(SEQUENTIAL_PREFIX)
 }
 
-fn answered_calls<'s>(calls: &'s [CallRecord], program: &'s str) -> impl Iterator<Item = &'s CallRecord> {
+fn answered_calls<'s>(
+    calls: &'s [CallRecord],
+    program: &'s str,
+) -> impl Iterator<Item = &'s CallRecord> {
     calls.iter().filter(move |call| {
         call.program == program && call.replies.iter().any(|reply| reply.answer().is_some())
     })
@@ -174,16 +177,16 @@
     let repeated = keyed
         .iter()
         .filter(|text| counts.get(**text).copied().unwrap_or(0) > 1);
-    let repeated = twice.count();
+    let repeated = repeated.count();
     let unknown = calls
         .iter()
         .filter(|call| call.replies.iter().any(is_unknown))
         .count();
     CheckResult {
         guarantee: "keyed calls run at most once",
-        held: twice == 0 && !keyed.is_empty(),
+        held: repeated == 0 && !keyed.is_empty(),
         observed: format!(
-            "{} keyed calls, {twice} ran twice, {unknown} told that the outcome is unknown",
+            "{} keyed calls, {repeated} ran twice, {unknown} told that the outcome is unknown",
             keyed.len()
         ),
     }
@@ -196,18 +199,21 @@
 /// Checks that calls that were only ever answered `not_run` did not run.
 pub fn check_not_run_errors(calls: &[CallRecord], runs: &[RunRecord]) -> CheckResult {
     let ran: BTreeSet<&str> = runs.iter().map(|run| run.last_message.as_str()).collect();
-    let refused: Vec<&CallRecord> = calls
+    let rejected: Vec<&CallRecord> = calls
         .iter()
         .filter(|call| call.replies.iter().all(is_not_run))
         .collect();
-    let false_errors = refused
+    let false_errors = rejected
         .iter()
         .filter(|call| ran.contains(call.text.as_str()));
     let false_errors = false_errors.count();
     CheckResult {
         guarantee: "\"not run\" is true",
         held: false_errors == 0,
-        observed: format!("{} calls refused as not run, {false_errors} ran", refused.len()),
+        observed: format!(
+            "{} calls refused as not run, {false_errors} ran",
+            rejected.len()
+        ),
     }
 }
 
--- a/crates/stageyoke-lab/src/demo/programs.rs
+++ b/crates/stageyoke-lab/src/demo/programs.rs
@@ -135,7 +135,10 @@
     };
     let mut replies = Vec::new();
     for attempt in 0..MAX_ATTEMPTS {
-        let reply = context.caller.call(context.node(turn + attempt), &plan).await;
+        let reply = context
+            .caller
+            .call(context.node(turn + attempt), &plan)
+            .await;
         let is_retried = target.keyed && is_retryable(&reply);
         replies.push(reply);
         if !is_retried {
--- a/crates/stageyoke-lab/src/demo/scenario.rs
+++ b/crates/stageyoke-lab/src/demo/scenario.rs
@@ -9,7 +9,9 @@
 use stageyoke_config::model::ProgramKind;
 
 use super::checks::{self, History};
-use super::programs::{CallLog, NodeAddresses, ProgramPlan, SEQUENTIAL_PREFIX, CallRecord, RunContext, run_program};
+use super::programs::{
+    CallLog, CallRecord, NodeAddresses, ProgramPlan, RunContext, SEQUENTIAL_PREFIX, run_program,
+};
 use super::{CheckResult, with_sample_key};
 use crate::caller::{CallPlan, Caller, Reply};
 use crate::cluster::{ClusterShape, LabCluster};
@@ -135,7 +137,11 @@
 }
 
 /// Checks that a looping program is rejected once it has used its call budget.
-async fn check_budget(context: &RunContext, config: &Configuration, cluster: &LabCluster) -> CheckResult {
+async fn check_budget(
+    context: &RunContext,
+    config: &Configuration,
+    cluster: &LabCluster,
+) -> CheckResult {
     let smallest = config
         .programs
         .iter()
@@ -219,7 +225,10 @@
     }
 }
 
-fn start_programs(context: &RunContext, config: &Configuration) -> Vec<tokio::task::JoinHandle<()>> {
+fn start_programs(
+    context: &RunContext,
+    config: &Configuration,
+) -> Vec<tokio::task::JoinHandle<()>> {
     let nested = config.programs.iter().find(|kind| kind.limits.depth > 0);
     let mut handles = Vec::new();
     for number in 0..PROGRAM_COUNT {
@@ -334,7 +343,10 @@
     let started = Instant::now();
     cluster.drain_node(DRAINED_NODE).await;
     let drain_time = started.elapsed();
-    println!("  node-{DRAINED_NODE} drained in {:.1} s", drain_time.as_secs_f64());
+    println!(
+        "  node-{DRAINED_NODE} drained in {:.1} s",
+        drain_time.as_secs_f64()
+    );
     for call in calls {
         let _ = call.await;
     }
@@ -374,13 +386,13 @@
         .iter()
         .filter(|run| run.arrived_at > announced + LEAVING_GRACE)
         .count();
-    let after = last_arrival.map_or(0.0, |at| {
+    let seconds = last_arrival.map_or(0.0, |at| {
         at.saturating_duration_since(announced).as_secs_f64()
     });
     CheckResult {
         guarantee: "a leaving back end gets nothing new",
         held: late == 0,
-        observed: format!("last new call {after:.1} s after its report, {late} after 3 s"),
+        observed: format!("last new call {seconds:.1} s after its report, {late} after 3 s"),
     }
 }
 
@@ -389,7 +401,10 @@
     engines.flat_map(|engine| engine.state.runs()).collect()
 }
 
-async fn read_histories(context: &RunContext, calls: &[CallRecord]) -> miette::Result<Vec<History>> {
+async fn read_histories(
+    context: &RunContext,
+    calls: &[CallRecord],
+) -> miette::Result<Vec<History>> {
     let mut programs: Vec<&str> = calls.iter().map(|call| call.program.as_str()).collect();
     programs.sort_unstable();
     programs.dedup();
@@ -410,7 +425,11 @@
 }
 
 /// Ends all programs and checks that the engines release their caches in time.
-async fn check_engine_caches(context: &RunContext, cluster: &LabCluster, histories: &[History]) -> CheckResult {
+async fn check_engine_caches(
+    context: &RunContext,
+    cluster: &LabCluster,
+    histories: &[History],
+) -> CheckResult {
     for (number, history) in histories.iter().enumerate() {
         context
             .caller
--- a/crates/stageyoke-lab/tests/cluster_test.rs
+++ b/crates/stageyoke-lab/tests/cluster_test.rs
@@ -1,4 +1,4 @@
-//! Real nodes on loopback sockets: the path a caller takes.
+//! Calls through a cluster of real nodes on loopback sockets.
 
 use hyper::Method;
 use stageyoke_lab::caller::{CallPlan, Caller, Reply};
@@ -9,7 +9,7 @@
 
 const CONFIG: &str = include_str!("../../../examples/flood-warning.toml");
 
-async fn cluster(tls: bool) -> (LabCluster, Caller) {
+async fn start_cluster(tls: bool) -> (LabCluster, Caller) {
     let shape = ClusterShape {
         nodes: 3,
         durable_nodes: 1,
@@ -32,7 +32,7 @@
     (cluster, Caller::new(&key))
 }
 
-fn plan<'a>(text: &'a str, program: &'a str, stream: bool) -> CallPlan<'a> {
+fn call_plan<'a>(text: &'a str, program: &'a str, stream: bool) -> CallPlan<'a> {
     CallPlan {
         model: "gauge-query",
         text,
@@ -43,25 +43,25 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn calls_of_one_program_carry_on_its_history_through_any_node() {
-    let (cluster, caller) = cluster(true).await;
+async fn calls_through_different_nodes_share_one_history() {
+    let (cluster, caller) = start_cluster(true).await;
     let nodes = cluster.caller_addresses();
-    let first = caller.call(nodes[0], &plan("first", "p", false)).await;
-    let second = caller.call(nodes[1], &plan("second", "p", true)).await;
+    let first = caller.call(nodes[0], &call_plan("first", "p", false)).await;
+    let second = caller.call(nodes[1], &call_plan("second", "p", true)).await;
     let user = |content| PromptMessage {
         role: "user",
         content,
     };
     let expected_first = complete_answer(&[user("first")], 512);
     assert_eq!(first, Reply::Answer(expected_first.clone()));
-    let answered = PromptMessage {
+    let first_answer = PromptMessage {
         role: "assistant",
         content: &expected_first,
     };
-    let expected_second = complete_answer(&[user("first"), answered, user("second")], 512);
+    let expected_second = complete_answer(&[user("first"), first_answer, user("second")], 512);
     assert_eq!(second, Reply::Answer(expected_second));
-    let shown = caller.request_program(nodes[2], Method::GET, "p").await;
-    let (status, body) = shown.expect("an answer");
+    let program = caller.request_program(nodes[2], Method::GET, "p").await;
+    let (status, body) = program.expect("an answer");
     assert_eq!(
         (status, body["history"].as_array().map(Vec::len)),
         (200, Some(4))
@@ -69,40 +69,40 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_brings_the_first_answer_again_and_runs_once() {
-    let (cluster, caller) = cluster(false).await;
+async fn a_repeated_key_returns_the_first_answer_and_runs_once() {
+    let (cluster, caller) = start_cluster(false).await;
     let nodes = cluster.caller_addresses();
     let keyed = CallPlan {
         key: Some("advisory-7"),
-        ..plan("issue the advisory", "forecast", false)
+        ..call_plan("issue the advisory", "forecast", false)
     };
     let first = caller.call(nodes[0], &keyed).await;
-    let again = caller.call(nodes[2], &keyed).await;
+    let retried = caller.call(nodes[2], &keyed).await;
     assert!(first.answer().is_some());
-    assert_eq!(first, again);
+    assert_eq!(first, retried);
     let runs: usize = cluster
         .engines
         .iter()
         .map(|engine| engine.state.runs().len())
         .sum();
     assert_eq!(runs, 1);
-    let other = CallPlan {
+    let conflicting = CallPlan {
         text: "another advisory",
         ..keyed
     };
     assert!(matches!(
-        caller.call(nodes[1], &other).await,
+        caller.call(nodes[1], &conflicting).await,
         Reply::Rejected { kind, run_state, .. } if kind == "key_conflict" && run_state == "not_run"
     ));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_requests_get_clear_refusals() {
-    let (cluster, caller) = cluster(false).await;
+async fn invalid_requests_get_specific_errors() {
+    let (cluster, caller) = start_cluster(false).await;
     let node = cluster.caller_addresses()[0];
     let unknown_model = CallPlan {
         model: "nobody",
-        ..plan("x", "p", false)
+        ..call_plan("x", "p", false)
     };
     let cases = [
         (
@@ -111,13 +111,13 @@
             "unknown_model",
         ),
         (
-            caller.call(node, &plan("x", "a b", false)).await,
+            caller.call(node, &call_plan("x", "a b", false)).await,
             400,
             "bad_request",
         ),
         (
             Caller::new("wrong")
-                .call(node, &plan("x", "p", false))
+                .call(node, &call_plan("x", "p", false))
                 .await,
             401,
             "unauthorized",
