--- a/crates/stageyoke-lab/src/cluster.rs
+++ b/crates/stageyoke-lab/src/cluster.rs
@@ -190,7 +190,7 @@
             self.nodes[index].running = Some(start_on(listeners, settings).await?);
             return Ok(());
         }
-        // The ports of a node that was just killed may still be open, so retry.
+        // The sockets of a node that was just killed may close a little later, so retry.
         let deadline = Instant::now() + WAIT_TIMEOUT;
         let node = loop {
             match start(settings.clone()).await {
@@ -236,7 +236,8 @@
         Ok(version)
     }
 
-    /// Applies a configuration without waiting for the nodes.
+    /// Writes a configuration to the key-value service and sends it to the running
+    /// nodes, without waiting until they use it.
     pub async fn submit_configuration(&self, text: &str) -> miette::Result<u64> {
         let client = KeyValueClient::new(vec![self.key_value_address]);
         let current = stageyoke_node::platform::config_source::read(&client)
@@ -257,7 +258,9 @@
                 self.push_configuration(&record).await;
                 Ok(version)
             }
-            Applied::Lost(_) => Err(miette!("another configuration was applied meanwhile")),
+            Applied::Lost(_) => Err(miette!(
+                "another configuration was applied at the same time"
+            )),
         }
     }
 
--- a/crates/stageyoke-lab/src/commands.rs
+++ b/crates/stageyoke-lab/src/commands.rs
@@ -108,7 +108,7 @@
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "failover")]
 struct FailoverArguments {
-    /// leaders to kill
+    /// number of leaders to kill
     #[argh(option, default = "500")]
     kills: u64,
 }
@@ -166,7 +166,7 @@
     json: bool,
 }
 
-/// Runs the command line.
+/// Parses the command line and runs its command; errors go to standard error.
 pub fn run() -> ExitCode {
     let arguments: Arguments = argh::from_env();
     let result = tokio::runtime::Runtime::new()
@@ -211,8 +211,8 @@
         Some(names) => names
             .split(',')
             .map(|name| {
-                let known = || miette::miette!("no fault is named {name}; there are {FAULTS:?}, and where named {NAMED_FAULTS:?}");
-                Fault::named(name.trim()).ok_or_else(known)
+                let unknown_fault = || miette::miette!("unknown fault {name}; available: {FAULTS:?}, and only by name: {NAMED_FAULTS:?}");
+                Fault::named(name.trim()).ok_or_else(unknown_fault)
             })
             .collect(),
     }
--- a/crates/stageyoke-lab/src/demo/checks.rs
+++ b/crates/stageyoke-lab/src/demo/checks.rs
@@ -130,10 +130,10 @@
     let mut foreign = 0;
     let mut messages = 0;
     for history in histories {
-        let own = format!("{} ", history.program);
+        let prefix = format!("{} ", history.program);
         for (role, content) in &history.entries {
             messages += 1;
-            foreign += usize::from(role == "user" && !content.starts_with(&own));
+            foreign += usize::from(role == "user" && !content.starts_with(&prefix));
         }
     }
     CheckResult {
@@ -198,14 +198,14 @@
 
 /// Checks that calls that were only ever answered `not_run` did not run.
 pub fn check_not_run_errors(calls: &[CallRecord], runs: &[RunRecord]) -> CheckResult {
-    let ran: BTreeSet<&str> = runs.iter().map(|run| run.last_message.as_str()).collect();
+    let executed: BTreeSet<&str> = runs.iter().map(|run| run.last_message.as_str()).collect();
     let rejected: Vec<&CallRecord> = calls
         .iter()
         .filter(|call| call.replies.iter().all(is_not_run))
         .collect();
     let false_errors = rejected
         .iter()
-        .filter(|call| ran.contains(call.text.as_str()));
+        .filter(|call| executed.contains(call.text.as_str()));
     let false_errors = false_errors.count();
     CheckResult {
         guarantee: "\"not run\" is true",
--- a/crates/stageyoke-lab/src/demo/mod.rs
+++ b/crates/stageyoke-lab/src/demo/mod.rs
@@ -50,12 +50,12 @@
     ] {
         let started = Instant::now();
         println!("\n{name}");
-        let rows = scenario::run(text, tls).await?;
+        let results = scenario::run(text, tls).await?;
         println!("\n{name}: what each promise showed");
-        for row in &rows {
-            let status = if row.held { "held  " } else { "BROKEN" };
-            println!("  {status}  {:<34} {}", row.guarantee, row.observed);
-            all_held &= row.held;
+        for result in &results {
+            let status = if result.held { "held  " } else { "BROKEN" };
+            println!("  {status}  {:<34} {}", result.guarantee, result.observed);
+            all_held &= result.held;
         }
         println!("  ({:.1} s)", started.elapsed().as_secs_f64());
     }
--- a/crates/stageyoke-lab/src/demo/programs.rs
+++ b/crates/stageyoke-lab/src/demo/programs.rs
@@ -38,7 +38,7 @@
 pub struct RunContext {
     /// Client that sends the requests.
     pub caller: Caller,
-    /// NodeAddresses to send requests to.
+    /// Addresses of the nodes to send requests to.
     pub nodes: NodeAddresses,
     /// Requests and replies so far.
     pub log: CallLog,
--- a/crates/stageyoke-lab/src/demo/scenario.rs
+++ b/crates/stageyoke-lab/src/demo/scenario.rs
@@ -59,11 +59,11 @@
         log: CallLog::default(),
     };
     refresh_nodes(&cluster, &context);
-    let mut rows = vec![check_simultaneous_calls(&context, &config).await];
-    rows.push(check_budget(&context, &config, &cluster).await);
-    rows.push(check_routes(&context, &config).await);
+    let mut results = vec![check_simultaneous_calls(&context, &config).await];
+    results.push(check_budget(&context, &config, &cluster).await);
+    results.push(check_routes(&context, &config).await);
     let programs = start_programs(&context, &config);
-    rows.extend(inject_failures(&mut cluster, &context, &text, version).await?);
+    results.extend(inject_failures(&mut cluster, &context, &text, version).await?);
     for program in programs {
         let _ = program.await;
     }
@@ -77,7 +77,7 @@
         }
     };
     let runs = all_runs(&cluster);
-    rows.extend([
+    results.extend([
         checks::check_call_order(&calls, &histories),
         checks::check_histories_complete(&calls, &histories),
         checks::check_histories_separate(&histories),
@@ -85,8 +85,8 @@
         checks::check_at_most_once(&calls, &runs),
         checks::check_not_run_errors(&calls, &runs),
     ]);
-    rows.push(check_engine_caches(&context, &cluster, &histories).await);
-    Ok(rows)
+    results.push(check_engine_caches(&context, &cluster, &histories).await);
+    Ok(results)
 }
 
 fn refresh_nodes(cluster: &LabCluster, context: &RunContext) {
@@ -122,11 +122,11 @@
             replies: vec![reply],
         });
     }
-    let shown = context
+    let response = context
         .caller
         .request_program(context.node(2), Method::GET, "together")
         .await;
-    let entries = shown.map_or(0, |(_, body)| {
+    let entries = response.map_or(0, |(_, body)| {
         body["history"].as_array().map_or(0, Vec::len)
     });
     CheckResult {
@@ -255,7 +255,7 @@
     text: &str,
     version: u64,
 ) -> miette::Result<Vec<CheckResult>> {
-    let mut rows = Vec::new();
+    let mut results = Vec::new();
     tokio::time::sleep(FAILURE_INTERVAL).await;
     let changed_text = text.replace("ageing_seconds = ", "ageing_seconds = 1");
     cluster.key_value.lose_next_answers(1);
@@ -273,20 +273,20 @@
     refresh_nodes(cluster, context);
     println!("  node-{KILLED_NODE} started again");
     tokio::time::sleep(FAILURE_INTERVAL).await;
-    rows.push(drain(cluster, context).await);
+    results.push(drain(cluster, context).await);
     cluster.start_node(DRAINED_NODE).await?;
     refresh_nodes(cluster, context);
     println!("  node-{DRAINED_NODE} started again");
-    rows.push(check_leaving_engine(cluster).await);
+    results.push(check_leaving_engine(cluster).await);
     cluster.wait_for_version(accepted).await?;
-    rows.push(CheckResult {
+    results.push(CheckResult {
         guarantee: "configuration in force, never reverts",
         held: accepted > version,
         observed: format!(
             "version {accepted} on every node, also on those restarted during the outage"
         ),
     });
-    Ok(rows)
+    Ok(results)
 }
 
 /// Checks that draining a node lets the requests in flight end.
@@ -410,15 +410,15 @@
     programs.dedup();
     let mut histories = Vec::new();
     for (number, program) in programs.into_iter().enumerate() {
-        let shown = context
+        let response = context
             .caller
             .request_program(context.node(number), Method::GET, program)
             .await;
-        match shown {
+        match response {
             Some((200, body)) => histories.push(History::of(program, &body)),
             // A program that was never admitted has no history.
             Some((404, _)) => {}
-            other => return Err(miette!("{program} cannot be read: {other:?}")),
+            other => return Err(miette!("cannot read program {program}: {other:?}")),
         }
     }
     Ok(histories)
--- a/crates/stageyoke-lab/src/load.rs
+++ b/crates/stageyoke-lab/src/load.rs
@@ -65,7 +65,7 @@
     let node = *cluster
         .caller_addresses()
         .first()
-        .ok_or_else(|| miette!("no node runs"))?;
+        .ok_or_else(|| miette!("no node is running"))?;
     let engine = cluster.engines[0].server.address;
     let caller = Caller::new(&key);
     let direct = DirectClient::new();
--- a/crates/stageyoke-lab/src/soak/deployment.rs
+++ b/crates/stageyoke-lab/src/soak/deployment.rs
@@ -19,8 +19,8 @@
 use super::proxy::Proxy;
 use super::replicas::unix_milliseconds;
 use super::slopes::Lives;
+use crate::standins::platform::key_value::PlatformKeyValueStandIn;
 use crate::standins::platform::replica::{ReplicaFaults, ReplicaStandIn};
-use crate::standins::platform::store::PlatformStoreStandIn;
 use crate::standins::platform::{RETENTION_SECONDS, configuration, names};
 use crate::standins::{StandInServer, serve};
 
@@ -85,7 +85,7 @@
     /// How many processes there are.
     pub size: Size,
     /// The platform's key-value service.
-    pub service: Arc<PlatformStoreStandIn>,
+    pub service: Arc<PlatformKeyValueStandIn>,
     /// A proxy before it for each process, in their order.
     pub service_proxies: Vec<Proxy>,
     /// Proxies before the stores, in their order.
@@ -139,7 +139,7 @@
         configuration: fn(u64) -> Value,
     ) -> io::Result<Self> {
         let promises = Arc::new(Promises::default());
-        let service = Arc::new(PlatformStoreStandIn::default());
+        let service = Arc::new(PlatformKeyValueStandIn::default());
         let server = serve(service.clone(), None).await?;
         let service_address = server.address;
         let mut servers = vec![server];
@@ -351,7 +351,7 @@
 
 /// Writes a replica's entry, as it does itself.
 fn list(
-    service: &PlatformStoreStandIn,
+    service: &PlatformKeyValueStandIn,
     replica: &ReplicaStandIn,
     address: SocketAddr,
     state: &str,
--- a/crates/stageyoke-lab/src/standins/engine.rs
+++ b/crates/stageyoke-lab/src/standins/engine.rs
@@ -55,7 +55,7 @@
 
 struct Model {
     batch: BatchEngine,
-    outputs: BTreeMap<AttemptId, mpsc::UnboundedSender<u64>>,
+    progress_senders: BTreeMap<AttemptId, mpsc::UnboundedSender<u64>>,
     attempts: BTreeMap<String, u32>,
     runs: Vec<RunRecord>,
 }
@@ -65,22 +65,22 @@
 pub enum EngineTiming {
     /// Follow the model of continuous batching.
     Modelled(EngineSpeed),
-    /// Send all tokens at once, so that only the path through the nodes takes time.
+    /// Send all tokens at once, to measure only the path through the nodes.
     Instant,
 }
 
-/// A running stand-in engine.
+/// Running engine. Dropping it stops its server and its step loop.
 pub struct RunningEngine {
     /// State, for inspection by tests and checks.
     pub state: Arc<EngineStandIn>,
     /// HTTP server.
     pub server: StandInServer,
-    stepper: tokio::task::AbortHandle,
+    step_task: tokio::task::AbortHandle,
 }
 
 impl Drop for RunningEngine {
     fn drop(&mut self) {
-        self.stepper.abort();
+        self.step_task.abort();
     }
 }
 
@@ -96,7 +96,7 @@
     let state = Arc::new(EngineStandIn {
         model: Mutex::new(Model {
             batch: BatchEngine::new(speed),
-            outputs: BTreeMap::new(),
+            progress_senders: BTreeMap::new(),
             attempts: BTreeMap::new(),
             runs: Vec::new(),
         }),
@@ -106,11 +106,11 @@
         answers_at_once: timing == EngineTiming::Instant,
     });
     let server = serve(state.clone(), None).await?;
-    let stepper = tokio::spawn(run_steps(state.clone())).abort_handle();
+    let step_task = tokio::spawn(run_steps(state.clone())).abort_handle();
     Ok(RunningEngine {
         state,
         server,
-        stepper,
+        step_task,
     })
 }
 
@@ -135,11 +135,11 @@
         tokio::time::sleep(Duration::from_millis(duration)).await;
         let mut model = engine.lock_model();
         for call_progress in progress {
-            if let Some(progress_sender) = model.outputs.get(&call_progress.id) {
+            if let Some(progress_sender) = model.progress_senders.get(&call_progress.id) {
                 let _ = progress_sender.send(call_progress.generated);
             }
             if call_progress.finished {
-                model.outputs.remove(&call_progress.id);
+                model.progress_senders.remove(&call_progress.id);
             }
         }
     }
@@ -255,7 +255,7 @@
         {
             let now = self.now();
             let mut model = self.lock_model();
-            model.outputs.insert(id, progress_sender);
+            model.progress_senders.insert(id, progress_sender);
             let call = EngineCall {
                 program,
                 prompt_tokens: prompt_tokens + skip,
@@ -279,7 +279,7 @@
                 break;
             }
         }
-        if self.lock_model().outputs.contains_key(&id) {
+        if self.lock_model().progress_senders.contains_key(&id) {
             self.cancel(id);
         }
         let _ = send_final_chunks(&mut sender, usage).await;
@@ -288,7 +288,7 @@
     fn cancel(&self, id: AttemptId) {
         let mut model = self.lock_model();
         model.batch.cancel(id);
-        model.outputs.remove(&id);
+        model.progress_senders.remove(&id);
     }
 
     fn load_report(&self) -> LoadReport {
--- a/crates/stageyoke-lab/src/standins/platform/caller.rs
+++ b/crates/stageyoke-lab/src/standins/platform/caller.rs
@@ -66,24 +66,31 @@
         // Some budgets run out before the last turn, which must be answered 402.
         let budget = MAX_TURN_TOKENS * self.random.random_range(2..turns.max(3) * 2);
         let mut received_tokens = 0;
-        let mut last: Option<StoredTurn> = None;
+        let mut last_turn: Option<StoredTurn> = None;
         for _ in 0..turns {
             let Some(next) = self
-                .run_turn(&program, budget, last.as_ref(), &mut received_tokens, until)
+                .run_turn(
+                    &program,
+                    budget,
+                    last_turn.as_ref(),
+                    &mut received_tokens,
+                    until,
+                )
                 .await
             else {
                 break;
             };
             if received_tokens > budget + MAX_TURN_TOKENS {
-                let breach =
-                    format!("program {program} was given {received_tokens} tokens of {budget}");
+                let breach = format!(
+                    "program {program} received {received_tokens} tokens with a budget of {budget}"
+                );
                 self.promises.breach(breach);
             }
-            last = Some(next);
+            last_turn = Some(next);
             let repeatable = self.random.random_bool(0.5);
             self.call_tool(repeatable).await;
         }
-        last
+        last_turn
     }
 
     /// Runs a turn, retrying it until it has a complete answer, is rejected for good
@@ -140,7 +147,9 @@
                 }
                 Outcome::Rejected(402, _) => return None,
                 Outcome::Rejected(404, _) => {
-                    let breach = format!("{id}: a kept turn or route was answered 404");
+                    let breach = format!(
+                        "{id}: a request for a known route and stored turn was answered 404"
+                    );
                     self.promises.breach(breach);
                     return None;
                 }
@@ -173,7 +182,7 @@
             self.promises.answered(false);
             if content != format!("answer to {id}").as_bytes() {
                 self.promises
-                    .breach(format!("{id} got the answer {content:?}"));
+                    .breach(format!("{id} received the wrong answer {content:?}"));
             }
         }
     }
@@ -186,13 +195,14 @@
         for line in text.lines().filter_map(|line| line.strip_prefix("data: ")) {
             if line != event_data(id, count) {
                 self.promises
-                    .breach(format!("{id}: event {count} is '{line}'"));
+                    .breach(format!("{id}: event {count} has the wrong data '{line}'"));
             }
             count += 1;
         }
         if is_complete && count != EVENTS_PER_TURN {
-            self.promises
-                .breach(format!("{id} ended as whole after {count} events"));
+            self.promises.breach(format!(
+                "{id}: the stream ended without an error after {count} of {EVENTS_PER_TURN} events"
+            ));
         }
         count * TOKENS_PER_EVENT
     }
@@ -233,20 +243,21 @@
         received: &mut Vec<u8>,
     ) -> Outcome {
         let front = self.fronts[self.random.random_range(0..self.fronts.len())];
-        let exchanging = exchange(front, request, received);
-        let Ok(Some(response)) = tokio::time::timeout(REQUEST_DEADLINE, exchanging).await else {
+        let response = exchange(front, request, received);
+        let Ok(Some(response)) = tokio::time::timeout(REQUEST_DEADLINE, response).await else {
             return Outcome::Failed;
         };
         let status = response.status();
         if status == StatusCode::OK {
-            let echoed = response.headers().get(names::REQUEST_ID);
-            if echoed.is_none_or(|value| value.as_bytes() != id.as_bytes()) {
+            let echoed_id = response.headers().get(names::REQUEST_ID);
+            if echoed_id.is_none_or(|value| value.as_bytes() != id.as_bytes()) {
                 self.promises
-                    .breach(format!("{id} got another request's answer"));
+                    .breach(format!("{id} received the answer to another request"));
             }
             if !response.headers().contains_key(names::SIGNATURE) {
-                self.promises
-                    .breach(format!("{id} got a success without a signature"));
+                self.promises.breach(format!(
+                    "{id} received a successful answer without a signature"
+                ));
             }
             return Outcome::Complete(Bytes::copy_from_slice(received));
         }
--- a/crates/stageyoke-lab/src/standins/platform/store.rs
+++ b/crates/stageyoke-lab/src/standins/platform/key_value.rs
@@ -21,7 +21,7 @@
 
 /// In-memory key-value service of the platform.
 #[derive(Default)]
-pub struct PlatformStoreStandIn {
+pub struct PlatformKeyValueStandIn {
     data: Mutex<Data>,
     changed: Notify,
     /// Rejects every call with status 503 while `true`.
@@ -34,8 +34,8 @@
     pub calls: AtomicU64,
     /// While `true`, calls are accepted but never answered.
     silent: AtomicBool,
-    /// Number of starts and ends of silence_changes; a call during which it changes is
-    /// never answered.
+    /// Counts the starts and ends of silences; a call during which it changes is never
+    /// answered.
     silence_changes: AtomicU64,
 }
 
@@ -76,7 +76,7 @@
     value: String,
 }
 
-impl PlatformStoreStandIn {
+impl PlatformKeyValueStandIn {
     fn lock_data(&self) -> MutexGuard<'_, Data> {
         self.data.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -93,7 +93,7 @@
         data.items.get(key).map(|stored| stored.value.clone())
     }
 
-    /// Removes a key.
+    /// Removes a key on behalf of the operator or a replica.
     pub fn remove(&self, key: &str) {
         self.lock_data().write(key, None);
         self.changed.notify_waiters();
@@ -219,7 +219,7 @@
     Some(pair)
 }
 
-impl Handler for PlatformStoreStandIn {
+impl Handler for PlatformKeyValueStandIn {
     async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         let silence_changes = self.silence_changes.load(Ordering::Relaxed);
         let response = self.answer(request).await;
@@ -231,7 +231,7 @@
     }
 }
 
-impl PlatformStoreStandIn {
+impl PlatformKeyValueStandIn {
     async fn answer(&self, request: Request<Incoming>) -> Response<Body> {
         self.calls.fetch_add(1, Ordering::Relaxed);
         let delay = self.answer_delay_ms.load(Ordering::Relaxed);
--- a/crates/stageyoke-lab/src/standins/platform/mod.rs
+++ b/crates/stageyoke-lab/src/standins/platform/mod.rs
@@ -2,8 +2,8 @@
 //! following the platform's published protocols.
 
 pub mod caller;
+pub mod key_value;
 pub mod replica;
-pub mod store;
 pub mod tenants;
 
 /// Header names, key-value keys and variables of the platform.
--- a/crates/stageyoke-lab/src/standins/platform/replica.rs
+++ b/crates/stageyoke-lab/src/standins/platform/replica.rs
@@ -80,7 +80,8 @@
             && self.promises.calm.holds()
         {
             let (id, late) = (&self.id, late.as_millis());
-            let breach = format!("{request} reached {id} {late} ms after it said that it leaves");
+            let breach =
+                format!("{request} reached {id} {late} ms after it announced that it is leaving");
             self.promises.breach(breach);
         }
     }
@@ -129,7 +130,7 @@
     for number in 0..events {
         tokio::time::sleep(EVENT_INTERVAL).await;
         if abort_before == Some(number) {
-            sender.abort("cut".into()).await;
+            sender.abort("injected stream failure".into()).await;
             return;
         }
         let data = event_data(&request, number);
--- a/crates/stageyoke-lab/src/standins/text.rs
+++ b/crates/stageyoke-lab/src/standins/text.rs
@@ -36,7 +36,7 @@
     text.split_whitespace().count() as u64
 }
 
-/// Number of tokens in the answer to a prompt.
+/// Returns the number of tokens in the answer to a prompt.
 pub fn answer_length(prompt: &[PromptMessage<'_>], max_tokens: u32) -> u64 {
     let requested = prompt.last().and_then(|message| {
         let mut words = message.content.split_whitespace();
@@ -46,8 +46,8 @@
     requested.unwrap_or(default).min(u64::from(max_tokens))
 }
 
-/// Token at a position of the answer to the prompt with this digest, including
-/// the space that separates it from the previous token.
+/// Returns the token at a position of the answer to the prompt with this digest,
+/// including the space that separates it from the previous token.
 pub fn answer_token(digest: u64, position: u64) -> String {
     let word = stageyoke_core::hash::mix(digest ^ position) & 0xffff_ffff;
     if position == 0 {
@@ -57,7 +57,7 @@
     }
 }
 
-/// Complete answer to a prompt.
+/// Generates all tokens of the answer to a prompt.
 pub fn complete_answer(prompt: &[PromptMessage<'_>], max_tokens: u32) -> String {
     let digest = prompt_digest(prompt);
     let length = answer_length(prompt, max_tokens);
