--- a/crates/stageyoke-lab/src/standins/platform/replica.rs
+++ b/crates/stageyoke-lab/src/standins/platform/replica.rs
@@ -80,8 +80,7 @@
             && self.promises.calm.holds()
         {
             let (id, late) = (&self.id, late.as_millis());
-            let breach =
-                format!("{request} reached {id} {late} ms after it announced that it is leaving");
+            let breach = format!("{request} reached {id} {late} ms after it said that it leaves");
             self.promises.breach(breach);
         }
     }
