--- a/crates/stageyoke-lab/src/soak/changes.rs
+++ b/crates/stageyoke-lab/src/soak/changes.rs
@@ -80,7 +80,7 @@
 /// Sends a request for `path` with a key and returns the status, if there is a response.
 pub async fn send_request(front: SocketAddr, request: &str, path: &str, key: &str) -> Option<u16> {
     let mut stream = TcpStream::connect(front).await.ok()?;
-    let (request_header, deadline_header) = (names::REQUEST, names::DEADLINE);
+    let (request_header, deadline_header) = (names::REQUEST_ID, names::DEADLINE_MS);
     let milliseconds = DEADLINE.as_millis();
     let text = format!(
         "GET {path} HTTP/1.1\r\nhost: {HOST}\r\n{request_header}: {request}\r\n\
--- a/crates/stageyoke-lab/src/soak/deployment.rs
+++ b/crates/stageyoke-lab/src/soak/deployment.rs
@@ -19,8 +19,8 @@
 use super::proxy::Proxy;
 use super::replicas::unix_milliseconds;
 use super::slopes::ProcessMonitor;
-use crate::standins::platform::replica::{ReplicaStandIn, ReplicaTrouble};
-use crate::standins::platform::store::PlatformStoreStandIn;
+use crate::standins::platform::key_value::PlatformKeyValueStandIn;
+use crate::standins::platform::replica::{ReplicaFaults, ReplicaStandIn};
 use crate::standins::platform::{RETENTION_SECONDS, configuration, names};
 use crate::standins::{StandInServer, serve};
 
@@ -87,7 +87,7 @@
     /// Number of processes, by role.
     pub size: DeploymentSize,
     /// Stand-in of the key-value service.
-    pub service: Arc<PlatformStoreStandIn>,
+    pub service: Arc<PlatformKeyValueStandIn>,
     /// A proxy to the key-value service for each process, in the order of `processes`.
     pub service_proxies: Vec<Proxy>,
     /// A proxy to each store, in the order of the stores in `processes`.
@@ -95,7 +95,7 @@
     /// A proxy to each replica, models first.
     pub replica_proxies: Vec<Proxy>,
     /// Faults that all replicas inject into their answers.
-    pub trouble: Arc<ReplicaTrouble>,
+    pub trouble: Arc<ReplicaFaults>,
     /// Fronts, followed by stores.
     pub processes: Vec<Process>,
     /// Observations and breaches of the run.
@@ -141,20 +141,20 @@
         configuration: fn(u64) -> Value,
     ) -> io::Result<Self> {
         let promises = Arc::new(Promises::default());
-        let service = Arc::new(PlatformStoreStandIn::default());
+        let service = Arc::new(PlatformKeyValueStandIn::default());
         let server = serve(service.clone(), None).await?;
         let service_address = server.address;
         let mut servers = vec![server];
-        let trouble = Arc::new(ReplicaTrouble::default());
+        let trouble = Arc::new(ReplicaFaults::default());
         let mut replica_proxies = Vec::new();
         let mut replicas = Vec::new();
         for number in 0..MODELS + TOOLS {
             let replica = Arc::new(ReplicaStandIn {
                 id: format!("replica-{number}"),
-                model: number < MODELS,
-                trouble: trouble.clone(),
+                is_engine: number < MODELS,
+                faults: trouble.clone(),
                 promises: promises.clone(),
-                born: AtomicU64::new(unix_milliseconds()),
+                started_at_ms: AtomicU64::new(unix_milliseconds()),
                 leaving_since: Mutex::default(),
             });
             let server = serve(replica.clone(), None).await?;
@@ -288,14 +288,14 @@
         let replica = &self.replicas[number];
         let address = self.replica_proxies[number].address;
         write_entry(&self.service, replica, address, "draining");
-        replica.leaves(true);
+        replica.set_leaving(true);
     }
 
     /// Removes the entry of a replica without draining; the replica keeps serving.
     pub fn remove_replica_entry(&self, number: usize) {
         let replica = &self.replicas[number];
         self.service.remove(&entry_key(&replica.id));
-        replica.leaves(true);
+        replica.set_leaving(true);
     }
 
     /// Overwrites the entry of a replica with a value that does not describe one; the
@@ -303,7 +303,7 @@
     pub fn corrupt_replica_entry(&self, number: usize, value: &[u8]) {
         let replica = &self.replicas[number];
         self.put_entry(&replica.id, value);
-        replica.leaves(true);
+        replica.set_leaving(true);
     }
 
     /// Writes a raw value to the entry of a replica.
@@ -315,7 +315,7 @@
     pub fn restore_replica(&self, number: usize) {
         let replica = &self.replicas[number];
         let address = self.replica_proxies[number].address;
-        replica.leaves(false);
+        replica.set_leaving(false);
         write_entry(&self.service, replica, address, "ready");
     }
 
@@ -355,20 +355,20 @@
 
 /// Writes the entry of a replica in the format that replicas use.
 fn write_entry(
-    service: &PlatformStoreStandIn,
+    service: &PlatformKeyValueStandIn,
     replica: &ReplicaStandIn,
     address: SocketAddr,
     state: &str,
 ) {
     let entry = json!({
-        "Service": if replica.model { "models" } else { "tools" },
+        "Service": if replica.is_engine { "models" } else { "tools" },
         "Addr": address, "Zone": "lab", "Version": "v1",
         "Slots": 12, "State": state, "ColdLeftMs": 0, "CallSeq": 1,
-        "born": replica.born.load(Ordering::Relaxed),
+        "born": replica.started_at_ms.load(Ordering::Relaxed),
     });
     service.put(&entry_key(&replica.id), entry.to_string().as_bytes());
 }
 
 fn entry_key(id: &str) -> String {
-    format!("{}{id}", names::SERVERS)
+    format!("{}{id}", names::SERVERS_PREFIX)
 }
--- a/crates/stageyoke-lab/src/soak/keys.rs
+++ b/crates/stageyoke-lab/src/soak/keys.rs
@@ -11,7 +11,7 @@
 
 use super::changes::{ConfigurationVersions, PROBE_TIMEOUT, send_request};
 use super::promises::{ExpectedRequest, Promises};
-use crate::standins::platform::SAFE_PATH;
+use crate::standins::platform::IDEMPOTENT_TOOL_PATH;
 use crate::standins::platform::tenants::{HOT_BURST, HOT_KEY, HOT_RATE, STEADY_KEY, guest_key};
 
 /// Window of the rate limits; also a setting of the processes.
@@ -122,7 +122,7 @@
             repeatable: true,
         };
         self.promises.record_request(request, expected);
-        let response = send_request(front, request, SAFE_PATH, key);
+        let response = send_request(front, request, IDEMPOTENT_TOOL_PATH, key);
         let status = tokio::time::timeout(PROBE_TIMEOUT, response).await;
         status.ok().flatten()
     }
--- a/crates/stageyoke-lab/src/soak/losses.rs
+++ b/crates/stageyoke-lab/src/soak/losses.rs
@@ -11,7 +11,7 @@
 use super::deployment::Deployment;
 use super::faults::random_milliseconds;
 use super::promises::Promises;
-use crate::standins::platform::{RETIREMENT_COMPLETED, names, retirement};
+use crate::standins::platform::{RETIREMENT_COMPLETED, names, retirement_order};
 
 /// Time within which an undisturbed deployment serves a turn: longer than the deadline of a
 /// request plus the longest wait after a refusal.
@@ -153,9 +153,9 @@
     /// out.
     async fn retire(&self, number: usize) {
         let node = &self.processes[number].node;
-        let order = format!("{}{node}", names::RETIRE);
-        let answer = format!("{}{node}", names::RETIREMENT);
-        self.service.put(&order, &retirement(RETIREMENT_TIMEOUT));
+        let order = format!("{}{node}", names::RETIRE_PREFIX);
+        let answer = format!("{}{node}", names::RETIRE_STATUS_PREFIX);
+        self.service.put(&order, &retirement_order(RETIREMENT_TIMEOUT));
         let until = Instant::now() + RETIREMENT_TIMEOUT;
         let completed = || {
             let value = self.service.value(&answer).unwrap_or_default();
--- a/crates/stageyoke-lab/src/soak/mod.rs
+++ b/crates/stageyoke-lab/src/soak/mod.rs
@@ -26,8 +26,8 @@
 use tokio::time::Instant;
 
 use crate::standins::platform::RETENTION_SECONDS;
-use crate::standins::platform::caller::{Caller, KeptTurn};
-use crate::standins::platform::tenants::tenanted;
+use crate::standins::platform::caller::{Caller, StoredTurn};
+use crate::standins::platform::tenants::configuration_with_tenants;
 use deployment::{Deployment, DeploymentSize};
 use faults::{FAULTS, Fault};
 use keys::TenantProbe;
@@ -116,7 +116,8 @@
 /// Runs a deployment as planned and checks all promises.
 pub async fn run(plan: &SoakPlan) -> std::io::Result<SoakReport> {
     let first_program = plan.upgrade_from.as_ref().unwrap_or(&plan.program);
-    let started = Deployment::start_with_options(first_program, plan.size, plan.catch_up, tenanted);
+    let started =
+        Deployment::start_with_options(first_program, plan.size, plan.catch_up, configuration_with_tenants);
     let mut deployment = started.await?;
     let started_at = Instant::now();
     let until = started_at + plan.duration;
@@ -201,10 +202,10 @@
     }
 }
 
-async fn run_programs_until(mut caller: Caller, until: Instant) -> Vec<KeptTurn> {
+async fn run_programs_until(mut caller: Caller, until: Instant) -> Vec<StoredTurn> {
     let mut stored_turns = Vec::new();
     while Instant::now() < until {
-        stored_turns.extend(caller.program(TURNS, until).await);
+        stored_turns.extend(caller.run_program(TURNS, until).await);
     }
     stored_turns
 }
@@ -215,7 +216,7 @@
 async fn continue_stored_turns(
     deployment: &Deployment,
     seed: u64,
-    mut stored_turns: Vec<KeptTurn>,
+    mut stored_turns: Vec<StoredTurn>,
 ) {
     let start_deadline = Instant::now() + CONTINUATION_START_TIMEOUT;
     stored_turns.sort_by_key(|turn| std::cmp::Reverse(turn.answered_at));
@@ -224,7 +225,9 @@
         let mut caller = caller(deployment, seed ^ (number as u64 + 1_000));
         let promises: Arc<Promises> = deployment.promises.clone();
         if Instant::now() > start_deadline {
-            promises.report_breach(format!("{} was not requested: no time was left", turn.turn));
+            promises.report_breach(format!("{} was not requested: no time was left",
+                turn.request_id
+            ));
             continue;
         }
         let expires_at = turn.answered_at + Duration::from_secs(RETENTION_SECONDS);
@@ -236,11 +239,11 @@
         callers.spawn(async move {
             let program = format!("after-{number}");
             let mut given = 0;
-            let next = caller.turn(&program, UNLIMITED_BUDGET, Some(&turn), &mut given, until);
+            let next = caller.run_turn(&program, UNLIMITED_BUDGET, Some(&turn), &mut given, until);
             if next.await.is_none() {
                 promises.report_breach(format!(
                     "{} could not be continued at the end of the run",
-                    turn.turn
+                    turn.request_id
                 ));
             }
         });
--- a/crates/stageyoke-lab/tests/soak_checks_test.rs
+++ b/crates/stageyoke-lab/tests/soak_checks_test.rs
@@ -11,7 +11,7 @@
 };
 use stageyoke_lab::soak::promises::Promises;
 use stageyoke_lab::soak::proxy::{Mode, Proxy};
-use stageyoke_lab::standins::platform::replica::{ReplicaStandIn, ReplicaTrouble};
+use stageyoke_lab::standins::platform::replica::{ReplicaFaults, ReplicaStandIn};
 use stageyoke_lab::standins::serve;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -55,14 +55,14 @@
     let promises = Arc::new(Promises::default());
     let replica = Arc::new(ReplicaStandIn {
         id: "replica".to_owned(),
-        model: false,
-        trouble: Arc::new(ReplicaTrouble::default()),
+        is_engine: false,
+        faults: Arc::new(ReplicaFaults::default()),
         promises: promises.clone(),
-        born: Default::default(),
+        started_at_ms: Default::default(),
         leaving_since: Mutex::default(),
     });
     let server = serve(replica.clone(), None).await.expect("server");
-    replica.leaves(true);
+    replica.set_leaving(true);
     tokio::time::sleep(late).await;
     if trouble {
         promises.disturbances.record_start();
