--- a/crates/stageyoke-lab/src/soak/losses.rs
+++ b/crates/stageyoke-lab/src/soak/losses.rs
@@ -155,7 +155,8 @@
         let node = &self.processes[number].node;
         let order = format!("{}{node}", names::RETIRE_PREFIX);
         let answer = format!("{}{node}", names::RETIRE_STATUS_PREFIX);
-        self.service.put(&order, &retirement_order(RETIREMENT_TIMEOUT));
+        self.service
+            .put(&order, &retirement_order(RETIREMENT_TIMEOUT));
         let until = Instant::now() + RETIREMENT_TIMEOUT;
         let completed = || {
             let value = self.service.value(&answer).unwrap_or_default();
--- a/crates/stageyoke-lab/src/soak/mod.rs
+++ b/crates/stageyoke-lab/src/soak/mod.rs
@@ -116,8 +116,12 @@
 /// Runs a deployment as planned and checks all promises.
 pub async fn run(plan: &SoakPlan) -> std::io::Result<SoakReport> {
     let first_program = plan.upgrade_from.as_ref().unwrap_or(&plan.program);
-    let started =
-        Deployment::start_with_options(first_program, plan.size, plan.catch_up, configuration_with_tenants);
+    let started = Deployment::start_with_options(
+        first_program,
+        plan.size,
+        plan.catch_up,
+        configuration_with_tenants,
+    );
     let mut deployment = started.await?;
     let started_at = Instant::now();
     let until = started_at + plan.duration;
@@ -225,7 +229,8 @@
         let mut caller = caller(deployment, seed ^ (number as u64 + 1_000));
         let promises: Arc<Promises> = deployment.promises.clone();
         if Instant::now() > start_deadline {
-            promises.report_breach(format!("{} was not requested: no time was left",
+            promises.report_breach(format!(
+                "{} was not requested: no time was left",
                 turn.request_id
             ));
             continue;
