--- a/crates/stageyoke-lab/src/soak/promises.rs
+++ b/crates/stageyoke-lab/src/soak/promises.rs
@@ -38,7 +38,7 @@
 pub struct Counts {
     /// Requests sent.
     pub requests: u64,
-    /// Requests run by replicas.
+    /// Runs of requests at replicas, including repeated ones.
     pub runs: u64,
     /// Complete responses.
     pub answered: u64,
