--- a/crates/stageyoke-lab/src/hunts/command.rs
+++ b/crates/stageyoke-lab/src/hunts/command.rs
@@ -1,6 +1,6 @@
 //! The command that plays a day again.
 
-use super::entry::{Entry, PlayedDay};
+use super::entry::{JournalEntry, PlayedDay};
 
 /// Kind of a day that can only be played again by its name.
 const BY_NAME: &str = "replay";
@@ -13,7 +13,7 @@
 
 /// The command that plays a day of an entry again, with the paths as the entry has
 /// them.
-pub fn replay_command(entry: &Entry, day: &PlayedDay) -> String {
+pub fn replay_command(entry: &JournalEntry, day: &PlayedDay) -> String {
     let site = site(entry);
     let shape = shaping_options(&entry.arguments);
     let played = match (entry.verb.as_str(), day.kind.as_str()) {
@@ -25,14 +25,14 @@
 }
 
 /// A single run names its day by a word or a file, and its seed apart.
-fn single_run(entry: &Entry, day: &PlayedDay, site: &str) -> String {
+fn single_run(entry: &JournalEntry, day: &PlayedDay, site: &str) -> String {
     let name = entry.arguments.get(1).unwrap_or(&day.name);
     let seed = day.seed.map(|seed| format!(" --seed {seed}"));
     format!("run {site} {name}{}", seed.unwrap_or_default())
 }
 
 /// The site's file, as the entry names it.
-fn site(entry: &Entry) -> &str {
+fn site(entry: &JournalEntry) -> &str {
     let first = entry.arguments.first();
     first.map_or("SITE", String::as_str)
 }
--- a/crates/stageyoke-lab/src/hunts/entry.rs
+++ b/crates/stageyoke-lab/src/hunts/entry.rs
@@ -11,7 +11,7 @@
 
 /// One entry.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct Entry {
+pub struct JournalEntry {
     /// Identifier.
     pub id: String,
     /// Verb of the command.
@@ -52,7 +52,7 @@
     pub served: f64,
 }
 
-impl Entry {
+impl JournalEntry {
     /// Whether its days are judged.
     pub fn is_judged(&self) -> bool {
         JUDGED_VERBS.contains(&self.verb.as_str())
@@ -70,7 +70,7 @@
 }
 
 /// Reads all entries of a folder, the oldest first.
-pub fn read_folder(journal: &Path) -> miette::Result<Vec<Entry>> {
+pub fn read_entries(journal: &Path) -> miette::Result<Vec<JournalEntry>> {
     let mut paths = entry_files(journal)
         .into_diagnostic()
         .wrap_err_with(|| journal.display().to_string())?;
@@ -87,7 +87,7 @@
     Ok(paths)
 }
 
-fn read_entry(path: &Path) -> miette::Result<Entry> {
+fn read_entry(path: &Path) -> miette::Result<JournalEntry> {
     let text = std::fs::read_to_string(path)
         .into_diagnostic()
         .wrap_err_with(|| path.display().to_string())?;
@@ -97,7 +97,7 @@
 }
 
 /// Place of the first entry after the one that an identifier names.
-pub fn position_after(entries: &[Entry], id: &str) -> miette::Result<usize> {
+pub fn index_after(entries: &[JournalEntry], id: &str) -> miette::Result<usize> {
     let named = entries.iter().position(|entry| entry.id == id);
     named
         .map(|place| place + 1)
--- a/crates/stageyoke-lab/src/hunts/finding.rs
+++ b/crates/stageyoke-lab/src/hunts/finding.rs
@@ -3,10 +3,10 @@
 use std::fmt;
 
 use super::command::replay_command;
-use super::entry::{Entry, PlayedDay};
+use super::entry::{JournalEntry, PlayedDay};
 
 /// Share of the worth owed under which a day counts as not served.
-const SERVED_LEAST: f64 = 0.5;
+const MIN_SERVED_SHARE: f64 = 0.5;
 
 /// What makes a day a finding.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -38,7 +38,7 @@
 /// A day that shows something.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// Entry that holds it.
+    /// JournalEntry that holds it.
     pub entry: String,
     /// What that entry was run for.
     pub why: String,
@@ -52,7 +52,7 @@
 
 impl Finding {
     /// What a day of an entry shows, if anything.
-    pub fn of(entry: &Entry, day: &PlayedDay) -> Option<Self> {
+    pub fn from_day(entry: &JournalEntry, day: &PlayedDay) -> Option<Self> {
         let reasons = reasons(day);
         let found = !reasons.is_empty();
         found.then(|| Self {
@@ -81,7 +81,7 @@
 
 fn too_little_served(served: f64) -> Option<Reason> {
     let hundredths = (served.max(0.0) * 100.0).floor() as u64;
-    (served < SERVED_LEAST).then_some(Reason::Served(hundredths))
+    (served < MIN_SERVED_SHARE).then_some(Reason::Served(hundredths))
 }
 
 impl fmt::Display for Finding {
--- a/crates/stageyoke-lab/src/soak/connections.rs
+++ b/crates/stageyoke-lab/src/soak/connections.rs
@@ -12,7 +12,7 @@
 const INODE: usize = 9;
 
 /// Whether one of these processes holds the end `own` of a connection to `remote`.
-pub fn held_by(processes: &[u32], own: SocketAddr, remote: SocketAddr) -> bool {
+pub fn is_held_by(processes: &[u32], own: SocketAddr, remote: SocketAddr) -> bool {
     let Some(inode) = inode(own, remote) else {
         return false;
     };
--- a/crates/stageyoke-lab/src/soak/calm.rs
+++ b/crates/stageyoke-lab/src/soak/disturbances.rs
@@ -7,41 +7,41 @@
 use tokio::time::Instant;
 
 /// Time after the last disturbance from which bounds hold again.
-pub const IN_TOUCH_AFTER: Duration = Duration::from_millis(3000);
+pub const RECOVERY_DELAY: Duration = Duration::from_millis(3000);
 /// Time in which a change must be in force: the bound of the processes' settings.
-pub const CHANGE_BOUND: Duration = Duration::from_millis(2000);
+pub const MAX_PROPAGATION_DELAY: Duration = Duration::from_millis(2000);
 
 #[derive(Debug, Default)]
-struct Disturbances {
+struct TrackerState {
     under_way: u32,
     last_end: Option<Instant>,
 }
 
 /// Disturbances of one run.
 #[derive(Debug, Default)]
-pub struct Calm(Mutex<Disturbances>);
+pub struct DisturbanceTracker(Mutex<TrackerState>);
 
-impl Calm {
-    fn disturbances(&self) -> MutexGuard<'_, Disturbances> {
+impl DisturbanceTracker {
+    fn state(&self) -> MutexGuard<'_, TrackerState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Something begins to strike.
-    pub fn disturb(&self) {
-        self.disturbances().under_way += 1;
+    /// Something begins to inject_fault.
+    pub fn record_start(&self) {
+        self.state().under_way += 1;
     }
 
     /// It has ended.
-    pub fn settle(&self) {
-        let mut disturbances = self.disturbances();
+    pub fn record_end(&self) {
+        let mut disturbances = self.state();
         disturbances.under_way = disturbances.under_way.saturating_sub(1);
         disturbances.last_end = Some(Instant::now());
     }
 
     /// Whether bounds hold now.
-    pub fn holds(&self) -> bool {
-        let disturbances = self.disturbances();
+    pub fn bounds_apply(&self) -> bool {
+        let disturbances = self.state();
         let rested = disturbances.last_end;
-        disturbances.under_way == 0 && rested.is_none_or(|end| end.elapsed() >= IN_TOUCH_AFTER)
+        disturbances.under_way == 0 && rested.is_none_or(|end| end.elapsed() >= RECOVERY_DELAY)
     }
 }
--- a/crates/stageyoke-lab/src/soak/processes.rs
+++ b/crates/stageyoke-lab/src/soak/processes.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 
 use super::keys::QUOTA_WINDOW;
-use super::slopes::Lives;
+use super::slopes::ProcessMonitor;
 use crate::standins::platform::names;
 
 /// Small segments, so that a disk which takes no new file is noticed at once.
@@ -56,7 +56,7 @@
     platform: SocketAddr,
     seeds: Vec<SocketAddr>,
     catch_up: Duration,
-    lives: Lives,
+    monitor: ProcessMonitor,
     advertised: Option<SocketAddr>,
     child: Option<Child>,
 }
@@ -75,7 +75,7 @@
     /// Time in which a store's successor catches up.
     pub catch_up: Duration,
     /// Where its life is watched.
-    pub lives: Lives,
+    pub monitor: ProcessMonitor,
 }
 
 impl Process {
@@ -99,14 +99,14 @@
             platform: shared.platform,
             seeds: shared.seeds.clone(),
             catch_up: shared.catch_up,
-            lives: shared.lives.clone(),
+            monitor: shared.monitor.clone(),
             advertised: None,
             child: None,
         }
     }
 
     /// A store that tells others this address, of a proxy before it.
-    pub fn behind(self, proxy: SocketAddr) -> Self {
+    pub fn with_proxy(self, proxy: SocketAddr) -> Self {
         Self {
             advertised: Some(proxy),
             ..self
@@ -114,7 +114,7 @@
     }
 
     /// It runs this program from its next start on.
-    pub fn run_program(&mut self, program: PathBuf) {
+    pub fn set_program(&mut self, program: PathBuf) {
         self.program = program;
     }
 
@@ -147,7 +147,7 @@
             .kill_on_drop(true)
             .spawn()?;
         if let Some(identifier) = child.id() {
-            self.lives.begin(&self.node, identifier);
+            self.monitor.add_process(&self.node, identifier);
         }
         self.child = Some(child);
         self.started_at = Some(Instant::now());
@@ -155,12 +155,12 @@
     }
 
     /// Where fronts and stores reach it, without a proxy.
-    pub fn inner(&self) -> SocketAddr {
+    pub fn peer_address(&self) -> SocketAddr {
         self.inner
     }
 
     /// Whether it was started and not ended since.
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.child.is_some()
     }
 
@@ -224,18 +224,18 @@
     }
 
     /// Waits for the process's end; it must have been told to end.
-    pub async fn ended(&mut self) {
+    pub async fn wait_for_exit(&mut self) {
         if let Some(mut child) = self.child.take() {
             let identifier = child.id();
             let _ = child.wait().await;
             if let Some(identifier) = identifier {
-                self.lives.end(identifier);
+                self.monitor.mark_ended(identifier);
             }
         }
     }
 
     /// Loses the disk, of a process that has ended.
-    pub fn wipe(&self) -> io::Result<()> {
+    pub fn wipe_data(&self) -> io::Result<()> {
         match std::fs::remove_dir_all(self.data_folder()) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => Err(error),
             _ => Ok(()),
@@ -257,7 +257,7 @@
     }
 
     /// Makes the disk take writes again.
-    pub fn empty_disk(&self) -> io::Result<()> {
+    pub fn free_disk(&self) -> io::Result<()> {
         if !self.data_folder().exists() {
             return Ok(());
         }
@@ -277,7 +277,7 @@
 
     /// Leaves bytes of a torn write at the end of the newest segment, of a
     /// process that has ended.
-    pub fn tear(&self, bytes: &[u8]) -> io::Result<()> {
+    pub fn append_torn_write(&self, bytes: &[u8]) -> io::Result<()> {
         let newest = newest_segment(&self.data_folder())?;
         match newest {
             Some(path) => OpenOptions::new().append(true).open(path)?.write_all(bytes),
--- a/crates/stageyoke-lab/src/soak/upgrade.rs
+++ b/crates/stageyoke-lab/src/soak/upgrade.rs
@@ -13,7 +13,7 @@
 
 /// One store in so many is replaced by an empty one when it is moved; the others keep
 /// their disks.
-const REPLACED_ONE_IN: u32 = 3;
+const ONE_REPLACED_IN: u32 = 3;
 
 /// One machine that is moved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,7 +35,7 @@
 impl Upgrade {
     /// Moves so many processes from the first program to the next, in an order that is
     /// drawn; the first that is moved goes back half way, and on again at the end.
-    pub fn draw(first: PathBuf, next: PathBuf, processes: usize, random: &mut ChaCha8Rng) -> Self {
+    pub fn plan(first: PathBuf, next: PathBuf, processes: usize, random: &mut ChaCha8Rng) -> Self {
         let mut order: Vec<usize> = (0..processes).collect();
         order.shuffle(random);
         let forward = |number: &usize| Move {
@@ -55,14 +55,14 @@
     }
 
     /// Whether all machines have been moved.
-    pub fn over(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.moves.is_empty()
     }
 }
 
 impl Deployment {
     /// Moves the next machine; tells which, and where to.
-    pub async fn move_next(
+    pub async fn upgrade_next_machine(
         &mut self,
         upgrade: &mut Upgrade,
         random: &mut ChaCha8Rng,
@@ -74,16 +74,16 @@
         };
         let node = self.processes[number].node.clone();
         let way = if back { "back" } else { "on" };
-        self.use_program(number, program.clone());
+        self.set_program(number, program.clone());
         if number < self.size.fronts {
-            self.promises.calm.disturb();
+            self.promises.disturbances.record_start();
             self.restart(number, Signal::SIGTERM).await;
-            self.promises.calm.settle();
+            self.promises.disturbances.record_end();
             return Some(format!("{node} moves {way}"));
         }
-        let replaced = random.random_range(0..REPLACED_ONE_IN) == 0;
+        let replaced = random.random_range(0..ONE_REPLACED_IN) == 0;
         match replaced {
-            true => self.succeed_store(number).await,
+            true => self.replace_with_empty_store(number).await,
             false => self.restart(number, Signal::SIGTERM).await,
         }
         tokio::time::sleep(self.catch_up).await;
@@ -95,12 +95,12 @@
         Some(format!("{node} moves {way} with {disk}"))
     }
 
-    async fn succeed_store(&mut self, number: usize) {
+    async fn replace_with_empty_store(&mut self, number: usize) {
         self.processes[number].signal(Signal::SIGTERM);
-        self.processes[number].ended().await;
+        self.processes[number].wait_for_exit().await;
         if let Err(error) = self.replace_store(number).await {
             let breach = format!("a store's successor did not start: {error}");
-            self.promises.breach(breach);
+            self.promises.report_breach(breach);
         }
     }
 }
