--- a/crates/stageyoke-lab/src/hunts/entry.rs
+++ b/crates/stageyoke-lab/src/hunts/entry.rs
@@ -1,4 +1,4 @@
-//! Entries of the journal, as far as they are read.
+//! Reads journal entries; fields that are not needed are ignored.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -6,70 +6,70 @@
 use miette::{Context, IntoDiagnostic};
 use serde::Deserialize;
 
-/// Verbs whose days are judged.
+/// Commands whose days are evaluated.
 const JUDGED_VERBS: [&str; 3] = ["hunt", "run", "score"];
 
-/// One entry.
+/// A journal entry, written after each command of the bench.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct JournalEntry {
     /// Identifier.
     pub id: String,
-    /// Verb of the command.
+    /// Subcommand.
     #[serde(rename = "cmd")]
     pub verb: String,
-    /// Its arguments.
+    /// Arguments of the subcommand.
     #[serde(rename = "argv", default)]
     pub arguments: Vec<String>,
-    /// What it was run for.
+    /// Purpose of the run, as given by the user.
     #[serde(default)]
     pub why: String,
-    /// Whether it came to its end.
+    /// Whether the command completed.
     #[serde(default)]
     pub ok: bool,
-    /// Days that were played; none where it did not come to its end.
+    /// Days that were run; none if the command did not complete.
     #[serde(default)]
     days: Option<Vec<PlayedDay>>,
 }
 
-/// One day that was played.
+/// Result of one day.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct PlayedDay {
-    /// Name; where the day has other luck, its seed stands in it.
+    /// Name; contains the seed where that differs from the default of the day.
     pub name: String,
-    /// Seed, where the day has one of its own.
+    /// Seed of the day, if it has its own.
     pub seed: Option<u64>,
-    /// Whether it can only be played again by its name.
+    /// Kind; a day of kind `replay` can only be replayed by its name.
     pub kind: String,
-    /// Broken rules, and how often.
+    /// Violated rules, with the number of violations.
     pub rules: BTreeMap<String, u64>,
-    /// What it fell short of.
+    /// Requirements of the gate that were missed.
     pub short: Vec<String>,
-    /// What ended it before its time.
+    /// Fault that ended the day early.
     pub fault: Option<String>,
-    /// Whether it passed the gate.
+    /// Whether the day passed the gate.
     pub gate: bool,
-    /// Share of the worth owed that was earned.
+    /// Served share of the total value.
     pub served: f64,
 }
 
 impl JournalEntry {
-    /// Whether its days are judged.
+    /// Returns whether the days of this entry are evaluated.
     pub fn is_judged(&self) -> bool {
         JUDGED_VERBS.contains(&self.verb.as_str())
     }
 
-    /// Whether all of its days were played.
+    /// Returns whether the command completed all its days.
     pub fn has_ended(&self) -> bool {
         self.ok && self.days.is_some()
     }
 
-    /// Days that were played.
+    /// Returns the days that were run.
     pub fn played_days(&self) -> &[PlayedDay] {
         self.days.as_deref().unwrap_or_default()
     }
 }
 
-/// Reads all entries of a folder, the oldest first.
+/// Reads all entries of a directory, the oldest first.
 pub fn read_entries(journal: &Path) -> miette::Result<Vec<JournalEntry>> {
     let mut paths = entry_files(journal)
         .into_diagnostic()
@@ -96,10 +96,10 @@
         .wrap_err_with(|| path.display().to_string())
 }
 
-/// Place of the first entry after the one that an identifier names.
+/// Returns the index after that of the entry with this identifier.
 pub fn index_after(entries: &[JournalEntry], id: &str) -> miette::Result<usize> {
     let named = entries.iter().position(|entry| entry.id == id);
     named
-        .map(|place| place + 1)
+        .map(|index| index + 1)
         .ok_or_else(|| miette::miette!("no entry is named {id}"))
 }
--- a/crates/stageyoke-lab/src/hunts/finding.rs
+++ b/crates/stageyoke-lab/src/hunts/finding.rs
@@ -1,25 +1,25 @@
-//! Whether a day shows something, and what.
+//! Determines whether a day is a finding, and why.
 
 use std::fmt;
 
 use super::command::replay_command;
 use super::entry::{JournalEntry, PlayedDay};
 
-/// Share of the worth owed under which a day counts as not served.
+/// Served share of the total value below which a day is a finding.
 const MIN_SERVED_SHARE: f64 = 0.5;
 
-/// What makes a day a finding.
+/// Why a day is a finding.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// A rule was broken, this often.
+    /// A rule was violated; with the number of violations.
     Broken(String, u64),
-    /// The day ended before its time.
+    /// A fault ended the day early.
     Fault(String),
-    /// Under half was served: hundredths of the worth owed.
+    /// Too little was served; in hundredths of the total value.
     Served(u64),
-    /// The gate asks for more.
+    /// A requirement of the gate was missed.
     Short(String),
-    /// The gate failed, and nothing says why.
+    /// The gate failed without a stated reason.
     Gate,
 }
 
@@ -35,23 +35,23 @@
     }
 }
 
-/// A day that shows something.
+/// A day with at least one reason to look into it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// JournalEntry that holds it.
+    /// Identifier of the journal entry.
     pub entry: String,
-    /// What that entry was run for.
+    /// Purpose of the run.
     pub why: String,
-    /// The day's name.
+    /// Name of the day.
     pub day: String,
-    /// What it shows.
+    /// Reasons, at least one.
     pub reasons: Vec<Reason>,
-    /// Command that plays it again.
+    /// Command that replays the day.
     pub command: String,
 }
 
 impl Finding {
-    /// What a day of an entry shows, if anything.
+    /// Returns the finding for a day, if there is one.
     pub fn from_day(entry: &JournalEntry, day: &PlayedDay) -> Option<Self> {
         let reasons = reasons(day);
         let found = !reasons.is_empty();
@@ -65,7 +65,6 @@
     }
 }
 
-/// All that makes a day a finding.
 fn reasons(day: &PlayedDay) -> Vec<Reason> {
     let broken = day.rules.iter();
     let broken = broken.map(|(rule, times)| Reason::Broken(rule.clone(), *times));
--- a/crates/stageyoke-lab/src/hunts/mod.rs
+++ b/crates/stageyoke-lab/src/hunts/mod.rs
@@ -1,7 +1,5 @@
-//! What report, scores and single runs found, by the measure of the platform's users.
-//!
-//! Reads the journal that the users' bench leaves. A day is a finding where it broke a
-//! rule, had a fault, fell short of the gate or served under half.
+//! Findings in the journal of the users' bench: days of hunts, scores and single runs that
+//! violated a rule, had a fault, missed the gate or served too little.
 
 mod command;
 mod entry;
@@ -13,22 +11,22 @@
 pub use entry::{JournalEntry, PlayedDay};
 pub use finding::{Finding, Reason};
 
-/// What was found in the entries of a journal.
+/// Findings in the entries of a journal.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HuntReport {
-    /// Entries that were judged.
+    /// Number of evaluated entries.
     pub entries: usize,
-    /// Days that were judged.
+    /// Number of evaluated days.
     pub days: usize,
-    /// Entries without an end: nothing is known of their days.
+    /// Identifiers of entries whose command did not complete.
     pub unfinished: Vec<String>,
-    /// Days that show something.
+    /// Days that are findings.
     pub findings: Vec<Finding>,
 }
 
 impl HuntReport {
-    /// Reads the entries of a folder, those after the one with the identifier `since`
-    /// where one is given.
+    /// Reads the entries of a directory; with `since`, only those after the entry with that
+    /// identifier.
     pub fn read(journal: &Path, since: Option<&str>) -> miette::Result<Self> {
         let entries = entry::read_entries(journal)?;
         let first = match since {
@@ -38,7 +36,7 @@
         Ok(Self::judge(&entries[first..]))
     }
 
-    /// Judges entries; those of other verbs are passed over.
+    /// Evaluates entries; entries of other commands are ignored.
     pub fn judge(entries: &[JournalEntry]) -> Self {
         let mut report = Self::default();
         for entry in entries.iter().filter(|entry| entry.is_judged()) {
@@ -47,7 +45,7 @@
         report
     }
 
-    /// Whether all days are known and none shows anything.
+    /// Returns whether all commands completed and there are no findings.
     pub fn is_clean(&self) -> bool {
         self.findings.is_empty() && self.unfinished.is_empty()
     }
--- a/crates/stageyoke-lab/src/soak/disturbances.rs
+++ b/crates/stageyoke-lab/src/soak/disturbances.rs
@@ -1,23 +1,23 @@
-//! When bounds hold: they are promised of processes in touch, and these are not
-//! while something strikes them or the key-value service, nor for a while after.
+//! Tracks disturbances of a run. Time bounds are checked only while no fault affects the
+//! processes or the key-value service, and not until they have recovered.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Time after the last disturbance from which bounds hold again.
+/// Time after the last disturbance from which bounds apply again.
 pub const RECOVERY_DELAY: Duration = Duration::from_millis(3000);
-/// Time in which a change must be in force: the bound of the processes' settings.
+/// Maximum time for a change to take effect, as set in the settings of the processes.
 pub const MAX_PROPAGATION_DELAY: Duration = Duration::from_millis(2000);
 
 #[derive(Debug, Default)]
 struct TrackerState {
-    under_way: u32,
+    in_progress: u32,
     last_end: Option<Instant>,
 }
 
-/// Disturbances of one run.
+/// Counts the disturbances that are in progress and notes when the last one ended.
 #[derive(Debug, Default)]
 pub struct DisturbanceTracker(Mutex<TrackerState>);
 
@@ -26,22 +26,23 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Something begins to inject_fault.
+    /// Records the start of a disturbance; disturbances may overlap.
     pub fn record_start(&self) {
-        self.state().under_way += 1;
+        self.state().in_progress += 1;
     }
 
-    /// It has ended.
+    /// Records the end of a disturbance.
     pub fn record_end(&self) {
-        let mut disturbances = self.state();
-        disturbances.under_way = disturbances.under_way.saturating_sub(1);
-        disturbances.last_end = Some(Instant::now());
+        let mut state = self.state();
+        state.in_progress = state.in_progress.saturating_sub(1);
+        state.last_end = Some(Instant::now());
     }
 
-    /// Whether bounds hold now.
+    /// Returns whether no disturbance is in progress and the last one ended at least
+    /// [`RECOVERY_DELAY`] ago.
     pub fn bounds_apply(&self) -> bool {
-        let disturbances = self.state();
-        let rested = disturbances.last_end;
-        disturbances.under_way == 0 && rested.is_none_or(|end| end.elapsed() >= RECOVERY_DELAY)
+        let state = self.state();
+        let last_end = state.last_end;
+        state.in_progress == 0 && last_end.is_none_or(|end| end.elapsed() >= RECOVERY_DELAY)
     }
 }
